--- a/tests/outer_names.py
+++ b/tests/outer_names.py
@@ -248,13 +248,11 @@
 
 def platform_words() -> Found:
     """Yield the names and words of the platform."""
-    for value in vars(names).values():
+    for name, value in vars(names).items():
+        if not name.isupper():
+            continue
         for item in value if isinstance(value, frozenset) else (value,):
-            if isinstance(item, bytes):
-                yield item.decode(), "platform"
-            elif isinstance(item, str) and not item.startswith(("/", "The ")):
-                if re.fullmatch(r"[a-z./]+", item):
-                    yield item, "platform"
+            yield item.decode() if isinstance(item, bytes) else item, "platform"
 
 
 def source_names() -> Found:
@@ -298,10 +296,10 @@
 
 def text_of(node: ast.AST | None) -> str:
     """Return a constant text that can be a key; empty if it is none."""
-    if isinstance(node, ast.Constant) and isinstance(node.value, str):
-        if re.fullmatch(r"[A-Za-z][A-Za-z0-9_.-]*", node.value):
-            return node.value
-    return ""
+    value = node.value if isinstance(node, ast.Constant) else None
+    if not isinstance(value, str):
+        return ""
+    return value if re.fullmatch(r"[A-Za-z][A-Za-z0-9_.-]*", value) else ""
 
 
 def programs() -> Found:
