--- a/sequoiawind/agent_http.py
+++ b/sequoiawind/agent_http.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP interface, for routers and for its metrics."""
+"""The agent's HTTP interface: routers and metrics."""
 
 import attrs
 import klein
@@ -17,13 +17,13 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ResponseSink:
-    """Writes an attempt to a router's connection as events."""
+    """Streams an attempt to a router as server-sent events."""
 
     request: server.Request
     is_ended: bool = False
 
     def started(self, load: LoadReport) -> None:
-        """Write that the attempt is admitted."""
+        """Write the event that the attempt has been admitted."""
         self.write(sse.named_event(EVENT_STARTED, wire.encode(load)))
 
     def chunk(self, attempt_id: str, index: int, data: bytes) -> None:
@@ -31,19 +31,19 @@
         self.write(sse.chunk_event(attempt_id, index, data))
 
     def ended(self, ended: Ended) -> None:
-        """Write the end, and end the response."""
+        """Write the end event and finish the response."""
         self.write(sse.named_event(EVENT_ENDED, wire.encode(ended)))
         if not self.is_ended:
             self.is_ended = True
             self.request.finish()
 
     def write(self, data: bytes) -> None:
-        """Write unless the connection is gone."""
+        """Write data unless the response has ended."""
         if not self.is_ended:
             self.request.write(data)
 
     def connection_lost(self, call: AgentCall) -> None:
-        """Note that the router cannot be reached on this connection."""
+        """Detach the call if the response has not ended."""
         if not self.is_ended:
             self.is_ended = True
             call.detach()
@@ -76,14 +76,14 @@
         return app
 
     def is_refused(self, request: server.Request) -> bool:
-        """Refuse a request that does not come from the system."""
+        """Refuse a call without the secret; return whether it was refused."""
         if http_server.has_secret(request, self.secret):
             return False
         request.setResponseCode(http.UNAUTHORIZED)
         return True
 
     def attempt(self, request: server.Request) -> Deferred[None] | bytes:
-        """Run an attempt."""
+        """Run an attempt and stream its events."""
         if self.is_refused(request):
             failure = not_run(Reason.UNAUTHENTICATED, messages.UNAUTHENTICATED)
             return wire.encode(failure)
@@ -102,7 +102,7 @@
         return done
 
     def probe(self, request: server.Request) -> bytes:
-        """Say how soon a request could start."""
+        """Answer how soon a request could start."""
         if self.is_refused(request):
             return b"{}"
         try:
@@ -122,7 +122,7 @@
         return http_server.json_reply(request, b"{}")
 
     def report(self, request: server.Request) -> bytes:
-        """Report this daemon to a router that answers an operator."""
+        """Return this daemon's report to a router that answers an operator."""
         if self.is_refused(request):
             return b"{}"
         report: DaemonReport = agent_report(
@@ -131,14 +131,14 @@
         return http_server.json_reply(request, wire.encode(report))
 
     def config(self, request: server.Request) -> bytes:
-        """Give a starting process the configuration."""
+        """Return the configuration snapshot to a starting process."""
         if self.is_refused(request):
             return b"{}"
         snapshot = self.board.snapshot().encode()
         return http_server.json_reply(request, snapshot)
 
     def show_metrics(self, request: server.Request) -> bytes:
-        """Show the metrics."""
+        """Return the metrics in the Prometheus text format."""
         request.setHeader("Content-Type", "text/plain; version=0.0.4")
         self.metrics.queued.set(self.agent.queue.queued)
         self.metrics.running.set(len(self.agent.queue.running))
@@ -146,11 +146,11 @@
         return metrics.render(self.metrics.registry)
 
     def health(self, request: server.Request) -> bytes:
-        """Say that the process lives."""
+        """Answer that the process is alive."""
         return b"ok\n"
 
     def ready(self, request: server.Request) -> bytes:
-        """Say whether the agent takes new work."""
+        """Answer whether the agent accepts new work."""
         if self.agent.draining or not self.board.phase.is_ready:
             request.setResponseCode(http.SERVICE_UNAVAILABLE)
             return b"not ready\n"
@@ -158,5 +158,5 @@
 
 
 def count_event(agent_metrics: AgentMetrics, name: str) -> None:
-    """Count an agent's event."""
+    """Increment the counter of an agent's event."""
     agent_metrics.events.labels(name).inc()
--- a/sequoiawind/http_ports.py
+++ b/sequoiawind/http_ports.py
@@ -1,4 +1,4 @@
-"""The ports over HTTP: to agents, to targets, to the log.
+"""HTTP implementations of the ports to agents, targets and the log.
 
 Each class implements a protocol of ``ports`` for the daemons.
 """
@@ -49,7 +49,7 @@
     secret: str
 
     def open(self, address: str, attempt: Attempt, sink: Sink) -> Call:
-        """Open an attempt at the agent of an address."""
+        """Open an attempt at the agent at an address."""
         call = AgentHttpCall(port=self, address=address, sink=sink)
         call.attempt_id = attempt.resume_of or attempt.attempt_id
         call.stream = EventCall(
@@ -70,7 +70,7 @@
     def probe(
         self, address: str, probe: Probe
     ) -> Deferred[Result[ProbeAnswer, Failure]]:
-        """Ask the agent of an address."""
+        """Send a probe to the agent at an address; return its answer."""
         json_client = JsonClient(client=self.client, secret=self.secret)
         url = f"http://{address}/probe"
         call = json_client.call("POST", url, ProbeAnswer, probe)
@@ -89,7 +89,7 @@
     is_ended: bool = False
 
     def event(self, event: sse.Event) -> None:
-        """Take one event of the agent's answer."""
+        """Handle one event of the agent's response stream."""
         if not event.name:
             attempt_id, index = sse.chunk_id(event)
             self.sink.chunk(attempt_id, index, event.data)
@@ -99,16 +99,16 @@
             self.end(wire.decode(event.data, Ended))
 
     def refused(self, failure: Failure) -> None:
-        """Take the failure of the call."""
+        """End the attempt with the failure of the call."""
         self.end(Ended(failure=failure))
 
     def lost(self) -> None:
-        """Take the end of the stream; too early if no end was announced."""
+        """Handle the end of the stream; a failure without an end event."""
         text = messages.CONNECTION_LOST
         self.end(Ended(failure=may_have_run(Reason.CONNECTION_LOST, text)))
 
     def end(self, ended: Ended) -> None:
-        """End the attempt once."""
+        """Report the end of the attempt to the sink, at most once."""
         if not self.is_ended:
             self.is_ended = True
             self.sink.ended(ended)
@@ -129,12 +129,12 @@
 
 @attrs.define(kw_only=True)
 class EngineHttpPort:
-    """Opens sequences at a model engine by its OpenAI interface."""
+    """Opens sequences at a model engine through its OpenAI interface."""
 
     client: HTTPClient
 
     def open(self, address: str, attempt: Attempt, sink: Sink) -> Call:
-        """Start a sequence at the engine of an address."""
+        """Start a sequence at the engine at an address."""
         call = EngineHttpCall(attempt=attempt, sink=sink)
         call.stream = EventCall(
             client=self.client,
@@ -189,11 +189,11 @@
     usage: wire.Usage = attrs.field(factory=wire.Usage)
 
     def headers(self, headers: Any) -> None:
-        """The engine has taken the request."""
+        """Report that the engine has accepted the request."""
         self.sink.started(LoadReport(target=self.attempt.target))
 
     def event(self, event: sse.Event) -> None:
-        """Take one chunk."""
+        """Pass one chunk to the sink and record the usage it carries."""
         attempt_id, index = sse.chunk_id(event)
         if event.data == openai_format.DONE:
             self.is_whole = True
@@ -202,11 +202,11 @@
         self.sink.chunk(attempt_id, index, event.data)
 
     def refused(self, failure: Failure) -> None:
-        """Take the failure of the request."""
+        """End the sequence with the failure of the request."""
         self.sink.ended(Ended(failure=failure))
 
     def lost(self) -> None:
-        """Take the end of the stream."""
+        """Handle the end of the stream; a failure without a last chunk."""
         if self.is_whole:
             self.sink.ended(Ended(usage=self.usage))
             return
@@ -227,7 +227,7 @@
     client: HTTPClient
 
     def open(self, address: str, attempt: Attempt, sink: Sink) -> Call:
-        """Send a call to the service of an address."""
+        """Send a call to the service at an address."""
         call = PlainHttpCall(client=self.client, attempt=attempt, sink=sink)
         Deferred.fromCoroutine(call.run(address))
         return call
@@ -250,7 +250,7 @@
             self.sink.ended(ended)
 
     async def answer(self, address: str) -> Ended:
-        """Return the answer of the service."""
+        """Send the request; return the service's reply or the failure."""
         attempt = self.attempt
         sent = self.client.request(
             attempt.method,
@@ -267,7 +267,7 @@
             refused = not_run(Reason.CONNECT_FAILED, str(problem))
             return Ended(failure=refused)
         except Exception as problem:
-            # Whatever broke the call, the service may have acted on it.
+            # Whatever the error, the service may have processed the call.
             lost = may_have_run(Reason.TARGET_LOST, repr(problem))
             return Ended(failure=lost)
         types = response.headers.getRawHeaders("Content-Type") or [""]
@@ -280,7 +280,7 @@
         )
 
     def cancel(self) -> None:
-        """Deliver nothing more; the service may go on."""
+        """Deliver nothing more; the service may still complete the call."""
         self.is_cancelled = True
 
 
@@ -298,7 +298,7 @@
 
 @attrs.define(kw_only=True)
 class EngineControlPort:
-    """Asks an engine about its cache and gives it orders."""
+    """Reads an engine's cache and load, and orders its weights version."""
 
     json: JsonClient
     address: Address
@@ -316,14 +316,14 @@
         return Deferred.fromCoroutine(self.json.call("GET", url, CacheList))
 
     def load(self) -> Deferred[Result[LoadReport, Failure]]:
-        """Return the engine's own report."""
+        """Return the engine's load report."""
         url = f"http://{self.address}/load"
         return Deferred.fromCoroutine(self.json.call("GET", url, LoadReport))
 
     def order_version(
         self, version: str, fencing: int
     ) -> Deferred[Result[bool, Failure]]:
-        """Order other weights."""
+        """Order a weights version; return whether it was accepted."""
         url = f"http://{self.address}/weights"
         order = {"version": version, "fencing": fencing}
         return Deferred.fromCoroutine(self.json.call("POST", url, bool, order))
@@ -372,6 +372,6 @@
 
 
 def log_port(client: HTTPClient, address: Address) -> LogHttpPort:
-    """Return the port of a log."""
+    """Return a port to the log at an address."""
     json_client = JsonClient(client=client, timeout_s=defaults.LOG_TIMEOUT_S)
     return LogHttpPort(json=json_client, address=address)
--- a/sequoiawind/router_http.py
+++ b/sequoiawind/router_http.py
@@ -44,7 +44,7 @@
     is_over: bool = False
 
     def chunk(self, data: bytes) -> None:
-        """Write a chunk, or keep it for a whole answer."""
+        """Write a chunk, or buffer it if the answer is not streamed."""
         if self.is_over:
             return
         if not self.is_streamed:
@@ -70,7 +70,7 @@
         self.request.finish()
 
     def write_whole(self) -> None:
-        """Write an answer that was not to be streamed."""
+        """Write the buffered chunks as one JSON reply."""
         usage = openai_format.usage_of(self.chunks[-2])
         if usage is not None:
             cached = str(usage.cached_tokens)
@@ -93,7 +93,7 @@
     def begin(
         self, status: int, content_type: str, verdict: Verdict | None = None
     ) -> None:
-        """Write the reply's head."""
+        """Set the reply's status and headers."""
         self.has_begun = True
         self.request.setResponseCode(status)
         self.request.setHeader("Content-Type", content_type)
@@ -105,8 +105,8 @@
         if verdict is not None:
             self.request.setHeader(http_server.VERDICT_HEADER, verdict.value)
 
-    def gone(self) -> None:
-        """The caller's connection is lost."""
+    def connection_lost(self) -> None:
+        """Cancel the request if its answer is not finished."""
         if self.is_over:
             return
         self.is_over = True
@@ -163,7 +163,7 @@
         return http_server.json_reply(request, body)
 
     def refuse(self, request: server.Request, failure: Failure) -> bytes:
-        """Answer a request that gets no further."""
+        """Refuse a request with an error reply."""
         self.router.on_refusal(failure)
         caller = Caller(
             request=request,
@@ -175,7 +175,7 @@
         return b""
 
     def completion(self, request: server.Request) -> Deferred[None] | bytes:
-        """Answer a prompt."""
+        """Answer a completion request."""
         body = json_object(http_server.body_of(request))
         path = request.path.decode()
         if body is None:
@@ -199,7 +199,7 @@
         return self.submit(request, caller_request, bool(body.get("stream")))
 
     def plain(self, request: server.Request) -> Deferred[None] | bytes:
-        """Pass a call to a plain service."""
+        """Forward a call to a plain service."""
         try:
             body = http_server.body_of(request).decode()
         except UnicodeDecodeError:
@@ -222,7 +222,7 @@
         caller_request: CallerRequest,
         is_streamed: bool,
     ) -> Deferred[None] | bytes:
-        """Give a request to the router, and its answer to the caller."""
+        """Submit a request to the router and write its answer."""
         caller = Caller(
             request=request,
             request_id=caller_request.request_id,
@@ -230,7 +230,7 @@
             is_streamed=is_streamed,
         )
         done = http_server.ended(request)
-        done.addCallback(lambda _: caller.gone())
+        done.addCallback(lambda _: caller.connection_lost())
         result = self.router.submit(caller_request, caller)
         if result.is_error():
             caller.ended(Ended(failure=result.error))
@@ -263,50 +263,54 @@
         return Deferred.fromCoroutine(run())
 
     def is_refused(self, request: server.Request) -> bool:
-        """Refuse a call that does not come from the system."""
+        """Refuse a call without the secret; return whether it was refused."""
         if http_server.has_secret(request, self.secret):
             return False
         request.setResponseCode(http.UNAUTHORIZED)
         return True
 
     def report(self, request: server.Request) -> bytes:
-        """Report this daemon to another router."""
+        """Return this daemon's report to another router."""
         if self.is_refused(request):
             return b"{}"
         report = wire.encode(self.admin.own_report())
         return http_server.json_reply(request, report)
 
     def config(self, request: server.Request) -> bytes:
-        """Give a starting process the configuration."""
+        """Return the configuration snapshot to a starting process."""
         if self.is_refused(request):
             return b"{}"
         snapshot = self.board.snapshot().encode()
         return http_server.json_reply(request, snapshot)
 
     def demand(self, request: server.Request) -> bytes:
-        """Hear the demand that another router sees."""
+        """Record the demand reported by another router."""
         if self.is_refused(request):
             return b"{}"
         try:
-            told = wire.decode(http_server.body_of(request), wire.DemandMessage)
+            message = wire.decode(
+                http_server.body_of(request), wire.DemandMessage
+            )
         except wire.WireError:
             return http_server.json_reply(request, b"{}", http.BAD_REQUEST)
-        self.board.limits.hear(told.router, told.demand, self.clock.seconds())
+        self.board.limits.hear(
+            message.router, message.demand, self.clock.seconds()
+        )
         return http_server.json_reply(request, b"{}")
 
     def show_metrics(self, request: server.Request) -> bytes:
-        """Show the metrics."""
+        """Return the metrics in the Prometheus text format."""
         request.setHeader("Content-Type", "text/plain; version=0.0.4")
         self.metrics.open_requests.set(self.router.open_requests)
         self.metrics.revision.set(self.board.state.revision)
         return metrics.render(self.metrics.registry)
 
     def health(self, request: server.Request) -> bytes:
-        """Say that the process lives."""
+        """Answer that the process is alive."""
         return b"ok\n"
 
     def ready(self, request: server.Request) -> bytes:
-        """Say whether the router takes new work."""
+        """Answer whether the router accepts new work."""
         if not self.board.phase.is_ready:
             request.setResponseCode(http.SERVICE_UNAVAILABLE)
             return b"not ready\n"
--- a/sequoiawind/wire.py
+++ b/sequoiawind/wire.py
@@ -1,8 +1,8 @@
 """Messages between the daemons, and their JSON encoding.
 
-The classes are plain data.  ``encode`` and ``decode`` are the only places
-where a message meets bytes; a malformed message is a :class:`Failure`-free
-``WireError``, which every receiver turns into a refusal.
+The classes are plain data.  Only ``encode`` and ``decode`` convert between
+messages and bytes.  A malformed message raises ``WireError``, which carries
+no ``Failure``; every receiver turns it into a refusal.
 """
 
 import base64
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """A target's state, as its agent knows it; rides on every answer."""
+    """A target's load as its agent knows it; sent along with answers."""
 
     target: str = ""
     # Incarnation of the target; changes when it restarts.
@@ -56,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class Attempt:
-    """One try of one request at one target."""
+    """One attempt to run one request on one target."""
 
     attempt_id: str
     request_id: str
@@ -68,10 +68,11 @@
     weight: float = 1.0
     # Refuse if the first token would come later than this, in seconds.
     max_first_s: float = 0.0
-    # How much longer than recomputing its missed prefix a request may queue.
+    # Wait accepted for a cached prefix, as a multiple of the time that
+    # recomputing the prefix would take.
     patience: float = 1.0
-    # Refuse if wait plus patience times computing costs more, in seconds;
-    # negative for no such limit.
+    # Refuse if the wait plus `patience` times the computing time is longer
+    # than this, in seconds; negative for no limit.
     max_cost_s: float = -1.0
     # Time left for the whole request, in seconds.
     deadline_s: float = 60.0
@@ -96,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class Probe:
-    """A question before a request is placed: how soon could it start?"""
+    """Asks an agent how soon a request could start, before placing it."""
 
     target: str
     account: str
@@ -129,41 +130,44 @@
     reply: Reply | None = None
     usage: Usage = attrs.field(factory=Usage)
     load: LoadReport | None = None
-    # What a probe would have told; with a refusal for wait or cost.
+    # The answer that a probe would have got; set if the attempt was refused
+    # for its wait or cost.
     probe: ProbeAnswer | None = None
 
 
 @attrs.frozen(kw_only=True)
 class TargetStatus:
-    """What an agent beside a forwarded target tells the routers."""
+    """Status of a forwarded target, sent by its agent to the routers."""
 
-    # Grows with each change; a router asks for what is newer.
+    # Increases with each change; a router asks for a newer status than its
+    # own.
     number: int = 0
-    # The target's name and start, by which a router knows that it is meant.
+    # The target's name and start time, by which a router checks that the
+    # status is that of the target it knows.
     target: str = ""
     born_ms: int = 0
     waiting: int = 0
     running: int = 0
-    # Those of the running ones whose prompts are still being read.
+    # Running requests whose prompts are still being processed.
     reading: int = 0
-    # Tokens in memory that cannot yield.
+    # Tokens in memory that cannot be evicted.
     used_tokens: int = 0
-    # The target refuses new work since it loads weights, or is about to.
+    # The target refuses new work because it is loading weights or about to.
     is_loading: bool = False
-    # It will load soon: a run that begins now should be short.
+    # The target will load weights soon; only short requests should start.
     is_winding_down: bool = False
     is_draining: bool = False
     # The target answers its agent.
     is_reachable: bool = True
     # Weights version by model.
     versions: dict[str, int] = attrs.field(factory=dict)
-    # Routers that this agent has heard from lately.
+    # Number of routers that have polled this agent recently.
     routers: int = 0
 
 
 @attrs.frozen(kw_only=True)
 class DemandMessage:
-    """What a router tells its peers about the demand it sees."""
+    """The demand that a router sees, sent to its peers."""
 
     router: str
     # Requests a second by client account.
@@ -200,7 +204,7 @@
 
 
 def decode_body(text: str) -> bytes:
-    """Return the body that `encode_body` made into text."""
+    """Return the body from the text that `encode_body` returned."""
     return base64.b64decode(text)
 
 
