--- a/sequoiawind/http_client.py
+++ b/sequoiawind/http_client.py
@@ -1,7 +1,7 @@
 """HTTP clients of the daemons: JSON calls and streamed attempts.
 
-A call that failed before its connection was open is proved not to have run;
-any later failure may have run.
+A call that fails before its connection is open is known not to have run; a
+call that fails later may have run.
 """
 
 from collections.abc import Callable, Mapping
@@ -38,10 +38,10 @@
 
 
 def make_client() -> HTTPClient:
-    """Return a client with a pool of kept connections.
+    """Return a client with a pool of persistent connections.
 
-    A request is never repeated by the client itself: whether it may be is
-    for the callers to decide.
+    The client never retries a request itself; its users decide whether a
+    retry is safe.
     """
     pool = HTTPConnectionPool(reactor, persistent=True)
     pool.maxPersistentPerHost = POOL_SIZE
@@ -54,7 +54,7 @@
 
 @attrs.define(kw_only=True)
 class JsonClient:
-    """Calls between processes, with JSON bodies."""
+    """Makes calls between processes, with JSON bodies."""
 
     client: HTTPClient
     secret: str = ""
@@ -63,16 +63,16 @@
     async def call(
         self, method: str, url: str, kind: type[T], body: object = None
     ) -> Result[T, Failure]:
-        """Call a process.
+        """Make a call and decode its answer.
 
         Args:
           method: The HTTP method.
-          url: Where to call.
+          url: The URL to call.
           kind: The class of the answer.
           body: The message to send; None for no body.
 
         Returns:
-          The answer, or why there is none.
+          The answer, or the failure.
         """
         data = b"" if body is None else wire.encode(body)
         headers = Headers({SECRET_HEADER: [self.secret]})
@@ -86,7 +86,7 @@
         except NOT_SENT as problem:
             return Error(not_run(Reason.CONNECT_FAILED, str(problem)))
         except Exception as problem:
-            # Whatever broke the call, the other side may have acted on it.
+            # Whatever the error, the other side may have processed the call.
             return Error(may_have_run(Reason.CONNECTION_LOST, repr(problem)))
         if response.code >= 400:
             return Error(error_of(response.code, content))
@@ -97,7 +97,7 @@
 
 
 def error_of(status: int, content: bytes) -> Failure:
-    """Return the failure in an error reply."""
+    """Return the failure that an error reply carries or stands for."""
     try:
         return wire.decode(content, Failure)
     except wire.WireError:
@@ -106,25 +106,25 @@
 
 
 class StreamReceiver(Protocol):
-    """Hands the body of a response on as it arrives."""
+    """Passes the body of a response to a callback as it arrives."""
 
     def __init__(
         self,
         on_data: Callable[[bytes], None],
         on_lost: Callable[[], None],
     ) -> None:
-        """Note where to hand data and the end."""
+        """Store the callbacks for data and for the end of the body."""
         self.on_data = on_data
         self.on_lost = on_lost
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Hand data on."""
+        """Pass data to the callback."""
         self.on_data(data)
 
     def connectionLost(  # noqa: N802
         self, reason: TwistedFailure = connectionDone
     ) -> None:
-        """Hand the end on."""
+        """Report the end of the body or the loss of the connection."""
         self.on_lost()
 
     def abort(self) -> None:
@@ -136,7 +136,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class EventCall:
-    """A request whose answer is a stream of events.
+    """A request whose answer is a stream of server-sent events.
 
     Exactly one of `on_refused` and `on_lost` is called at the end, unless
     the call was cancelled.
@@ -174,7 +174,7 @@
         self.request.addCallbacks(self.answered, self.failed)
 
     def answered(self, response: Any) -> None:
-        """Take the response's head."""
+        """Handle the response's status and headers."""
         if self.is_over:
             response.deliverBody(Protocol())
             return
@@ -186,7 +186,7 @@
         response.deliverBody(self.receiver)
 
     async def refused(self, response: Any) -> None:
-        """Take a reply that is not an event stream."""
+        """End the call with the failure in an error reply."""
         try:
             content = await treq.content(response)
         except (error.ConnectionClosed, PartialDownloadError):
@@ -194,7 +194,7 @@
         self.end(error_of(response.code, content))
 
     def failed(self, failure: TwistedFailure) -> None:
-        """Take the failure of the request itself."""
+        """Handle a request that got no response."""
         if failure.check(*NOT_SENT):
             text = messages.CONNECT_FAILED
             self.end(not_run(Reason.CONNECT_FAILED, text))
@@ -209,7 +209,7 @@
             self.on_refused(failure)
 
     def received(self, data: bytes) -> None:
-        """Take a part of the stream."""
+        """Parse received bytes and report the events in them."""
         try:
             for event in self.reader.feed(data):
                 if self.is_over:
@@ -220,13 +220,13 @@
             self.on_refused(may_have_run(Reason.TARGET_ERROR, str(problem)))
 
     def lost(self) -> None:
-        """Take the end of the stream."""
+        """Report the end of the stream."""
         if not self.is_over:
             self.is_over = True
             self.on_lost()
 
     def cancel(self) -> None:
-        """Close the connection; nothing more is delivered."""
+        """Close the connection; no callback is called afterwards."""
         self.is_over = True
         if self.receiver is not None:
             self.receiver.abort()
--- a/sequoiawind/http_server.py
+++ b/sequoiawind/http_server.py
@@ -1,4 +1,4 @@
-"""What the daemons' HTTP servers have in common.
+"""Common parts of the daemons' HTTP servers.
 
 Bodies, headers and the time to send them are bounded, so that one caller
 cannot hold resources that others need.
@@ -34,7 +34,7 @@
     body_bytes: int = 0
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Refuse a body that is announced as too large."""
+        """Refuse a body whose announced length is too large."""
         if length is not None and length > defaults.MAX_BODY_BYTES:
             self.refuse_body(Reason.BODY_TOO_LARGE)
             return
@@ -58,22 +58,22 @@
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Begin the request once its body has arrived."""
+        """Process the request once its body has arrived."""
         self.stop_body_timer()
         server.Request.requestReceived(self, command, path, version)
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802
-        """Forget the body's timer with the connection."""
+        """Cancel the body timer when the connection is lost."""
         self.stop_body_timer()
         server.Request.connectionLost(self, reason)
 
     def stop_body_timer(self) -> None:
-        """Stop waiting for the body."""
+        """Cancel the body timer if it is running."""
         if self.body_timer is not None and self.body_timer.active():
             self.body_timer.cancel()
 
     def refuse_body(self, reason: Reason) -> None:
-        """Answer at once and close the connection."""
+        """Reply with an error without reading on, and close."""
         self.stop_body_timer()
         channel: Any = self.channel
         if channel is None:
@@ -89,18 +89,18 @@
 
 
 class BoundedSite(server.Site):
-    """A site that tells which requests it refused for their bodies."""
+    """A site that reports why it refused a request's body."""
 
     def __init__(
         self, *args: Any, on_refusal: Callable[[Reason], None], **kwargs: Any
     ) -> None:
-        """Note whom to tell."""
+        """Store the callback for refused bodies."""
         server.Site.__init__(self, *args, **kwargs)
         self.on_refusal = on_refusal
 
 
 def ignore(reason: Reason) -> None:
-    """Do nothing about a refused body."""
+    """Ignore a refused body."""
 
 
 def listen(
@@ -108,7 +108,7 @@
     address: Address,
     on_refusal: Callable[[Reason], None] = ignore,
 ) -> IListeningPort:
-    """Serve an application at an address; port 0 takes a free one."""
+    """Serve an application at an address; port 0 selects a free one."""
     site = BoundedSite(
         app.resource(),
         requestFactory=BoundedRequest,
@@ -140,7 +140,7 @@
 
 
 def has_secret(request: server.Request, secret: str) -> bool:
-    """Whether a request comes from a process of the system."""
+    """Whether a request carries the secret of the system's processes."""
     sent = header(request, SECRET_HEADER).encode()
     return hmac.compare_digest(sent, secret.encode())
 
@@ -163,9 +163,10 @@
 
 
 def ended(request: server.Request) -> Deferred[None]:
-    """Return a Deferred that fires when a request's connection is done.
+    """Return a Deferred that fires when a request is over.
 
-    It fires with None whether the reply was finished or the peer has gone.
+    It fires with None, whether the reply was finished or the peer
+    disconnected.
     """
     done: Deferred[None] = request.notifyFinish()
     done.addErrback(lambda failure: None)
