--- a/sequoiawind/http1_client.py
+++ b/sequoiawind/http1_client.py
@@ -1,9 +1,10 @@
-"""HTTP/1.1 towards targets, with proof of what may have run.
+"""HTTP/1.1 client for targets that tells which failed calls may have run.
 
-`treq` hides how far a call came and reads on past an answer's end; a request
-that must not run twice needs both.  So `h11` parses and frames here.  A call
-that failed before its bytes were handed to a connection is proved not to have
-run; any later failure may have run.
+A request that must not run twice needs to know how far a failed call got and
+where exactly its answer ends.  `treq` hides the first and reads on past the
+second, so `h11` parses and frames here.  A call that fails before its bytes
+are handed to a connection is known not to have run; a call that fails later
+may have run.
 """
 
 from collections import defaultdict
@@ -25,13 +26,14 @@
 from sequoiawind.options import Address
 from sequoiawind.verdict import Failure, Reason, may_have_run, not_run
 
-# A handshake inside a region takes milliseconds; the peer's kernel repeats a
-# dropped one only after a second.
+# A handshake inside a region takes milliseconds; the peer's kernel
+# retransmits a dropped one only after a second.
 CONNECT_TIMEOUT_S: Final = 0.5
-# Idle time for which a connection is kept if the peer does not state its own.
-DEFAULT_KEEP_S: Final = 0.8
-# Taken off the idle time that a peer states, against a close on its way.
-KEEP_MARGIN_S: Final = 0.4
+# Idle time for which a connection is kept if the peer states none.
+DEFAULT_KEEP_ALIVE_S: Final = 0.8
+# Subtracted from the idle time that a peer states, so that no request is sent
+# on a connection that the peer is about to close.
+KEEP_ALIVE_MARGIN_S: Final = 0.4
 MAX_ANSWER_BYTES: Final = 64 * 1024 * 1024
 
 
@@ -43,34 +45,34 @@
     target: bytes
     headers: Headers
     body: bytes = b""
-    # A header by which the answer is known to be this request's; answers
-    # with another value belong to an earlier request and are skipped.
+    # A header that the target echoes in its answer.  An answer with another
+    # value belongs to an earlier request and is skipped.
     echo: tuple[bytes, bytes] | None = None
 
 
 class AnswerSink(Protocol):
-    """Receives an answer; ends with exactly one of the last two calls."""
+    """Receives an answer; exactly one of `done` and `failed` ends it."""
 
     def head(self, status: int, headers: Headers) -> None:
-        """The answer's head."""
+        """Receive the answer's status and headers."""
 
     def data(self, data: bytes) -> None:
-        """A part of its body."""
+        """Receive a part of the answer's body."""
 
     def done(self) -> None:
-        """The answer is complete."""
+        """Receive the end of a complete answer."""
 
     def failed(self, failure: Failure) -> None:
-        """No complete answer will come."""
+        """Receive the reason why there is no complete answer."""
 
 
 class TargetConnection(TwistedProtocol):
-    """A connection to a target; one exchange at a time."""
+    """A connection to a target; carries one exchange at a time."""
 
     transport: Any
 
     def __init__(self, client: "Http1Client", address: str) -> None:
-        """Prepare for a first exchange."""
+        """Set up the parser for the first exchange."""
         self.client = client
         self.address = address
         self.http = h11.Connection(h11.CLIENT)
@@ -79,24 +81,24 @@
         # Whether the answer being read belongs to an earlier request.
         self.is_skipping = False
         self.received_bytes = 0
-        self.keep_s = DEFAULT_KEEP_S
+        self.keep_alive_s = DEFAULT_KEEP_ALIVE_S
         self.idle_since_s = 0.0
         self.is_open = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Note that the connection is open."""
+        """Set the socket options and mark the connection as open."""
         sockets.configure(self.transport)
         self.is_open = True
 
     def send(self, request: OutgoingRequest, sink: AnswerSink) -> None:
-        """Start an exchange."""
+        """Send a request; its answer goes to the sink."""
         self.request = request
         self.sink = sink
         self.received_bytes = 0
         self.transport.write(self.frame(request))
 
     def frame(self, request: OutgoingRequest) -> bytes:
-        """Return a request's bytes, and put the parser in step."""
+        """Return a request's bytes and advance the parser's state."""
         headers = list(request.headers)
         if request.body or request.method not in (b"GET", b"HEAD", b"DELETE"):
             headers.append((b"content-length", b"%d" % len(request.body)))
@@ -115,27 +117,27 @@
         return b"".join(part for part in parts if part)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes from the target."""
+        """Handle bytes from the target."""
         if self.sink is None:
-            # Bytes that no request asked for.
+            # No request is waiting for an answer.
             self.drop()
             return
-        self.take(data)
+        self.feed(data)
 
     def connectionLost(  # noqa: N802
         self, reason: TwistedFailure = connectionDone
     ) -> None:
-        """End the exchange: complete only if its framing says so."""
+        """End the exchange; complete only if the answer's framing says so."""
         self.is_open = False
-        self.client.forget(self)
+        self.client.remove_idle(self)
         if self.sink is None:
             return
         if reason.check(error.ConnectionDone) is not None:
-            self.take(b"")
+            self.feed(b"")
         self.fail(Reason.CONNECTION_LOST, messages.CONNECTION_LOST)
 
-    def take(self, data: bytes) -> None:
-        """Parse bytes; empty ones stand for the end of the connection."""
+    def feed(self, data: bytes) -> None:
+        """Parse bytes; empty bytes mark the end of the connection."""
         self.received_bytes += len(data)
         try:
             self.http.receive_data(data)
@@ -147,37 +149,37 @@
             self.fail(Reason.TARGET_ERROR, messages.ANSWER_TOO_LARGE)
 
     def read_event(self) -> bool:
-        """Take one event of the parser; whether there was one."""
+        """Handle the parser's next event; return whether there was one."""
         event = self.http.next_event()
         if isinstance(event, h11.Response):
-            self.take_head(event)
+            self.handle_head(event)
         elif isinstance(event, h11.Data):
             if not self.is_skipping and self.sink is not None:
                 self.sink.data(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self.take_end()
+            self.handle_end()
         else:
             return isinstance(event, h11.InformationalResponse)
         return True
 
-    def take_head(self, response: h11.Response) -> None:
-        """Take an answer's head, unless it is of another request."""
+    def handle_head(self, response: h11.Response) -> None:
+        """Pass on an answer's head unless it belongs to another request."""
         headers = list(response.headers)
-        self.note_keep(headers)
+        self.update_keep_alive(headers)
         echo = self.request.echo if self.request is not None else None
         found = [value for name, value in headers if echo and name == echo[0]]
         self.is_skipping = bool(echo and found and found[0] != echo[1])
         if not self.is_skipping and self.sink is not None:
             self.sink.head(response.status_code, headers)
 
-    def note_keep(self, headers: Headers) -> None:
-        """Note how long the target keeps an idle connection."""
+    def update_keep_alive(self, headers: Headers) -> None:
+        """Read from the headers how long the target keeps idle connections."""
         for name, value in headers:
             if name == b"keep-alive":
-                self.keep_s = keep_s(value)
+                self.keep_alive_s = parse_keep_alive(value)
 
-    def take_end(self) -> None:
-        """Finish the exchange, or go on to the answer that is ours."""
+    def handle_end(self) -> None:
+        """End the exchange, or continue with the next answer after a skip."""
         if self.is_skipping:
             self.skip_answer()
             return
@@ -186,14 +188,14 @@
         reusable = not extra and self.http.their_state is h11.DONE
         if reusable and self.is_open:
             self.http.start_next_cycle()
-            self.client.keep(self)
+            self.client.add_idle(self)
         else:
             self.drop()
         if sink is not None:
             sink.done()
 
     def skip_answer(self) -> None:
-        """Expect the answer to our request after another's."""
+        """Drop another request's answer and wait for the one to ours."""
         extra, _ = self.http.trailing_data
         self.client.on_foreign()
         self.is_skipping = False
@@ -201,7 +203,8 @@
             self.fail(Reason.TARGET_ERROR, messages.FOREIGN_ANSWER)
             return
         self.http = h11.Connection(h11.CLIENT)
-        # The bytes are on their way already; this keeps the parser in step.
+        # The request has been sent already; framing it again only brings the
+        # new parser into the state in which it expects an answer.
         self.frame(self.request)
         if extra:
             self.http.receive_data(extra)
@@ -214,14 +217,14 @@
             sink.failed(may_have_run(reason, detail))
 
     def drop(self) -> None:
-        """Close the connection at once."""
-        self.client.forget(self)
+        """Abort the connection."""
+        self.client.remove_idle(self)
         if self.is_open:
             self.is_open = False
             self.transport.abortConnection()
 
     def cancel(self) -> None:
-        """Give the exchange up; the sink hears nothing more."""
+        """Abort the exchange; the sink receives nothing more."""
         self.sink = None
         self.drop()
 
@@ -235,7 +238,7 @@
     is_cancelled: bool = False
 
     def cancel(self) -> None:
-        """Give the call up; its sink hears nothing more."""
+        """Cancel the call; its sink receives nothing more."""
         self.is_cancelled = True
         if self.connecting is not None:
             self.connecting.cancel()
@@ -245,7 +248,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Http1Client:
-    """Calls to targets over kept connections."""
+    """Makes calls to targets over persistent connections."""
 
     # A Twisted reactor; untyped like `event_loop.reactor`.
     reactor: Any
@@ -260,9 +263,9 @@
     def call(
         self, address: str, request: OutgoingRequest, sink: AnswerSink
     ) -> HttpCall:
-        """Send a request, over a kept connection if there is one."""
+        """Send a request, over an idle connection if there is one."""
         call = HttpCall()
-        kept = self.take_kept(address)
+        kept = self.pop_idle(address)
         if kept is not None:
             call.connection = kept
             kept.send(request, sink)
@@ -295,24 +298,24 @@
         call.connecting.addCallbacks(connected, refused)
         return call
 
-    def take_kept(self, address: str) -> TargetConnection | None:
-        """Return the connection used last, if it is still good."""
+    def pop_idle(self, address: str) -> TargetConnection | None:
+        """Return the most recently used idle connection; None without one."""
         now_s = self.reactor.seconds()
         kept = self.idle[address]
         while kept:
             connection = kept.pop()
-            if now_s - connection.idle_since_s < connection.keep_s:
+            if now_s - connection.idle_since_s < connection.keep_alive_s:
                 return connection
             connection.drop()
         return None
 
-    def keep(self, connection: TargetConnection) -> None:
-        """Keep a connection for another call."""
+    def add_idle(self, connection: TargetConnection) -> None:
+        """Keep a connection for another call, as idle from now on."""
         connection.idle_since_s = self.reactor.seconds()
         self.idle[connection.address].append(connection)
 
-    def forget(self, connection: TargetConnection) -> None:
-        """Do not use a connection again."""
+    def remove_idle(self, connection: TargetConnection) -> None:
+        """Remove a connection from the idle ones."""
         kept = self.idle[connection.address]
         if connection in kept:
             kept.remove(connection)
@@ -333,7 +336,7 @@
 class ReplySink:
     """Collects a whole answer."""
 
-    done_with: Deferred[Result[HttpReply, Failure]] = attrs.field(
+    when_done: Deferred[Result[HttpReply, Failure]] = attrs.field(
         factory=Deferred
     )
     status: int = 0
@@ -342,16 +345,16 @@
     is_over: bool = False
 
     def head(self, status: int, headers: Headers) -> None:
-        """Keep the head."""
+        """Store the status and headers."""
         self.status = status
         self.headers = headers
 
     def data(self, data: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self.body += data
 
     def done(self) -> None:
-        """Hand over the whole answer."""
+        """Finish with the whole answer."""
         self.finish(
             Ok(
                 HttpReply(
@@ -363,14 +366,14 @@
         )
 
     def failed(self, failure: Failure) -> None:
-        """Hand over why there is none."""
+        """Finish with the failure."""
         self.finish(Error(failure))
 
     def finish(self, result: Result[HttpReply, Failure]) -> None:
-        """Hand over the result, once."""
+        """Fire the Deferred with the result, at most once."""
         if not self.is_over:
             self.is_over = True
-            self.done_with.callback(result)
+            self.when_done.callback(result)
 
 
 def fetch(
@@ -379,7 +382,7 @@
     request: OutgoingRequest,
     timeout_s: float,
 ) -> Deferred[Result[HttpReply, Failure]]:
-    """Return the whole answer to a request, or why there is none in time."""
+    """Return the whole answer to a request, or the failure on time-out."""
     sink = ReplySink()
     call = client.call(str(address), request, sink)
 
@@ -394,13 +397,17 @@
             timer.cancel()
         return result
 
-    return sink.done_with.addBoth(stop)
+    return sink.when_done.addBoth(stop)
 
 
-def keep_s(value: bytes) -> float:
-    """Return for how long to keep a connection by its Keep-Alive header."""
+def parse_keep_alive(value: bytes) -> float:
+    """Return how long to keep an idle connection, in seconds.
+
+    Args:
+      value: The Keep-Alive header of an answer.
+    """
     for item in value.split(b","):
         name, _, number = item.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and number.strip().isdigit():
-            return max(0.0, int(number) - KEEP_MARGIN_S)
-    return DEFAULT_KEEP_S
+            return max(0.0, int(number) - KEEP_ALIVE_MARGIN_S)
+    return DEFAULT_KEEP_ALIVE_S
--- a/sequoiawind/http1_server.py
+++ b/sequoiawind/http1_server.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards callers whose requests are forwarded unchanged.
+"""HTTP/1.1 server for callers whose requests are forwarded unchanged.
 
-`klein` hands over a request only as a resource of its own site, with its
-headers rewritten and its answer's framing chosen; forwarding needs the head as
-it came and control over when an answer counts as complete.  So `h11` parses
+`klein` exposes a request only as a resource of its own site, with rewritten
+headers, and chooses the framing of its answer.  Forwarding needs the head as
+it arrived and control over when an answer counts as complete, so `h11` parses
 and frames here, over Twisted's transports.
 """
 
@@ -19,13 +19,14 @@
 from sequoiawind.ports import Clock, Timer
 from sequoiawind.verdict import HTTP_STATUS, Reason
 
-# Bytes that a caller may send ahead of its answer before reading stops.
-MAX_AHEAD_BYTES: Final = 65_536
+# Pipelined bytes that a caller may send during an answer before the server
+# stops reading.
+MAX_PIPELINED_BYTES: Final = 65_536
 
 
 @attrs.frozen(kw_only=True)
 class HttpRequest:
-    """A whole request as it came."""
+    """A complete request as it arrived."""
 
     method: bytes
     # Path and query, undecoded.
@@ -33,7 +34,7 @@
     # Names in lower case.
     headers: Headers
     body: bytes
-    # When its first byte arrived, in seconds of the clock.
+    # Arrival of its first byte, in seconds of the clock.
     arrived_s: float
 
     def header(self, name: bytes) -> bytes:
@@ -45,12 +46,12 @@
 
 
 class CallerConnection(Protocol):
-    """One caller's connection: a request at a time, and its answer."""
+    """A caller's connection; handles one request and answer at a time."""
 
     transport: Any
 
     def __init__(self, site: "CallerSite") -> None:
-        """Prepare to parse."""
+        """Set up the parser."""
         self.site = site
         self.http = self.new_parser()
         self.head: h11.Request | None = None
@@ -58,10 +59,10 @@
         # When the request being read began; None between requests.
         self.arrived_s: float | None = None
         self.timer: Timer | None = None
-        # Whether a request has been handed over and its answer is not done.
+        # Whether a request was dispatched and its answer is not complete.
         self.is_answering = False
         self.is_lost = False
-        # Called once if the caller goes before its answer is done.
+        # Called once if the caller disconnects before its answer is complete.
         self.on_gone: Callable[[], None] | None = None
 
     def new_parser(self) -> h11.Connection:
@@ -72,7 +73,7 @@
         )
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Begin to wait for a request."""
+        """Register the connection and wait for a request."""
         sockets.configure(self.transport)
         self.site.connections.add(self)
         self.wait_idle()
@@ -80,18 +81,18 @@
     def connectionLost(  # noqa: N802
         self, reason: TwistedFailure = connectionDone
     ) -> None:
-        """Tell whoever works on the request that the caller has gone."""
+        """Report a disconnect before the end of the answer."""
         self.is_lost = True
         self.stop_timer()
         self.site.connections.discard(self)
-        gone, self.on_gone = self.on_gone, None
+        on_gone, self.on_gone = self.on_gone, None
         if self.is_answering:
             self.is_answering = False
-            if gone is not None:
-                gone()
+            if on_gone is not None:
+                on_gone()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Take bytes from the caller."""
+        """Handle bytes from the caller."""
         if self.http.their_state is h11.ERROR:
             return
         if self.head is None and not self.is_answering:
@@ -99,48 +100,49 @@
         self.http.receive_data(data)
         self.parse()
         if self.is_answering and len(self.http.trailing_data[0]) > (
-            MAX_AHEAD_BYTES
+            MAX_PIPELINED_BYTES
         ):
             self.transport.pauseProducing()
 
     def parse(self) -> None:
-        """Take what the parser has; refuse what is no request."""
+        """Handle the parser's events; refuse malformed requests."""
         try:
             self.read_events()
         except h11.RemoteProtocolError as error:
             self.refuse_malformed(error.error_status_hint)
 
-    def parse_ahead(self) -> None:
-        """Take a request that the caller sent ahead."""
+    def parse_pipelined(self) -> None:
+        """Parse a request that the caller sent during the last answer."""
         if not self.is_lost and not self.is_answering:
             self.begin_head()
             self.parse()
 
     def begin_head(self) -> None:
-        """Note that a request begins."""
+        """Record a request's arrival and start the timer for its head."""
         if self.arrived_s is not None:
             return
         self.arrived_s = self.site.clock.seconds()
-        self.watch(self.site.limits().header_timeout_s, self.timed_out)
+        self.set_timer(self.site.limits().header_timeout_s, self.timed_out)
 
     def read_events(self) -> None:
-        """Take what the parser has."""
+        """Handle the parser's events up to the end of a request."""
         while not self.is_answering and not self.is_lost:
             event = self.http.next_event()
             if isinstance(event, h11.Request):
-                self.take_head(event)
+                self.handle_head(event)
             elif isinstance(event, h11.Data):
-                self.take_body(event.data)
+                self.handle_body(event.data)
             elif isinstance(event, h11.EndOfMessage):
-                self.hand_over()
+                self.dispatch_request()
             else:
                 return
 
-    def take_head(self, head: h11.Request) -> None:
-        """Take a request's head.
+    def handle_head(self, head: h11.Request) -> None:
+        """Handle a request's head.
 
         Raises:
-          h11.RemoteProtocolError: The head states its length in two ways.
+          h11.RemoteProtocolError: Transfer-Encoding and Content-Length are
+            both present.
         """
         names = [name for name, _ in head.headers]
         if b"transfer-encoding" in names and b"content-length" in names:
@@ -148,19 +150,19 @@
                 "both Transfer-Encoding and Content-Length", 400
             )
         self.head = head
-        self.watch(defaults.BODY_TIMEOUT_S, self.timed_out)
+        self.set_timer(defaults.BODY_TIMEOUT_S, self.timed_out)
         if self.http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self.write(self.http.send(go_on))
+            proceed = h11.InformationalResponse(status_code=100, headers=[])
+            self.write(self.http.send(proceed))
 
-    def take_body(self, data: bytes) -> None:
-        """Take a part of a body, within the limit."""
+    def handle_body(self, data: bytes) -> None:
+        """Append a part of the body; refuse a body over the limit."""
         self.body += data
         if len(self.body) > self.site.limits().body_bytes:
             self.refuse(Reason.BODY_TOO_LARGE)
 
-    def hand_over(self) -> None:
-        """Give a whole request to the site's handler."""
+    def dispatch_request(self) -> None:
+        """Pass a complete request to the site's handler."""
         self.stop_timer()
         head = self.head
         if head is None or self.arrived_s is None:
@@ -183,8 +185,8 @@
     def send_head(self, status: int, headers: Headers) -> None:
         """Send the answer's head.
 
-        An answer without a Content-Length goes out in chunks, so that one
-        that is broken off does not look complete.
+        An answer without a Content-Length is sent in chunks, so that an
+        aborted one does not look complete.
         """
         if self.is_lost:
             return
@@ -200,7 +202,7 @@
             self.write(self.http.send(h11.Data(data=data)))
 
     def send_end(self) -> None:
-        """End the answer, and go on to the next request."""
+        """End the answer and continue with the next request."""
         if self.is_lost:
             return
         self.write(self.http.send(h11.EndOfMessage()))
@@ -212,21 +214,21 @@
         self.next_request()
 
     def reply(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         length = (b"content-length", b"%d" % len(body))
         self.send_head(status, [*headers, length])
         self.send_data(body)
         self.send_end()
 
     def break_off(self) -> None:
-        """End the answer before it is complete, for the caller to see."""
+        """Abort the answer so that the caller sees it is incomplete."""
         self.is_answering = False
         self.on_gone = None
         if not self.is_lost:
             self.transport.loseConnection()
 
     def next_request(self) -> None:
-        """Parse what the caller has sent ahead, or wait."""
+        """Parse the next request if bytes of it are here, or wait for one."""
         ahead, _ = self.http.trailing_data
         try:
             self.http.start_next_cycle()
@@ -236,21 +238,21 @@
         self.transport.resumeProducing()
         self.wait_idle()
         if ahead:
-            self.site.clock.callLater(0, self.parse_ahead)
+            self.site.clock.callLater(0, self.parse_pipelined)
 
-    # Limits.
+    # Time-outs and refusals.
 
     def wait_idle(self) -> None:
-        """Close the connection if no request comes for long."""
-        self.watch(self.site.limits().idle_timeout_s, self.close)
+        """Start the timer that closes an idle connection."""
+        self.set_timer(self.site.limits().idle_timeout_s, self.close)
 
-    def watch(self, delay_s: float, act: Callable[[], None]) -> None:
-        """Set the connection's only timer."""
+    def set_timer(self, delay_s: float, act: Callable[[], None]) -> None:
+        """Start the connection's only timer, in place of a running one."""
         self.stop_timer()
         self.timer = self.site.clock.callLater(delay_s, act)
 
     def stop_timer(self) -> None:
-        """Stop the connection's timer."""
+        """Cancel the connection's timer."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = None
@@ -260,17 +262,17 @@
         self.refuse(Reason.BODY_TIMEOUT)
 
     def refuse(self, reason: Reason) -> None:
-        """Answer a request that was not read to its end, and close."""
+        """Refuse a request that was not read to its end, and close."""
         self.site.on_refusal(reason)
         self.refuse_status(HTTP_STATUS[reason])
 
     def refuse_malformed(self, status: int) -> None:
-        """Answer bytes that are no request, and close."""
+        """Refuse bytes that are not a valid request, and close."""
         self.site.on_refusal(Reason.BAD_REQUEST)
         self.refuse_status(status)
 
     def refuse_status(self, status: int) -> None:
-        """Answer with a status alone, and close."""
+        """Reply with a status and no body, and close."""
         self.stop_timer()
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             response = h11.Response(
@@ -282,7 +284,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connection once all is written."""
+        """Close the connection after all data is written."""
         self.is_lost = True
         self.transport.loseConnection()
 
@@ -298,7 +300,7 @@
 
 
 class CallerSite(Factory):
-    """Accepts callers and hands their requests to one handler."""
+    """Accepts callers and passes their requests to one handler."""
 
     noisy = False
 
@@ -310,21 +312,21 @@
         limits: Callable[[], CallerLimits],
         on_refusal: Callable[[Reason], None],
     ) -> None:
-        """Note whom to hand requests to."""
+        """Store the clock, the handler, the limits and the callbacks."""
         self.clock = clock
         self.on_request = on_request
         self.limits = limits
         self.on_refusal = on_refusal
         self.connections: set[CallerConnection] = set()
-        # Whether connections close after their answers.
+        # Whether each connection closes after its current answer.
         self.is_closing = False
 
     def buildProtocol(self, addr: object) -> CallerConnection:  # noqa: N802
-        """Return the protocol of a new connection."""
+        """Return the protocol for a new connection."""
         return CallerConnection(self)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections without a request in progress."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -7,7 +7,11 @@
 from twisted.python.failure import Failure as TwistedFailure
 
 from sequoiawind.headers import Headers
-from sequoiawind.http1_client import Http1Client, OutgoingRequest, keep_s
+from sequoiawind.http1_client import (
+    Http1Client,
+    OutgoingRequest,
+    parse_keep_alive,
+)
 from sequoiawind.verdict import Failure, Verdict
 from tests.stand_ins import Peer, accept
 
@@ -104,7 +108,7 @@
         peer.protocol.dataReceived(OWN)
         peer.protocol.dataReceived(FOREIGN)
         self.assertTrue(peer.transport.is_aborted)
-        self.assertEqual(None, self.client.take_kept("10.0.0.1:80"))
+        self.assertEqual(None, self.client.pop_idle("10.0.0.1:80"))
 
     def test_ends_of_connections(self) -> None:
         closed = TwistedFailure(error.ConnectionDone())
@@ -138,7 +142,7 @@
         peer, _ = self.call()
         peer.protocol.dataReceived(OWN)
         self.reactor.advance(10.0)
-        self.assertEqual(None, self.client.take_kept("10.0.0.1:80"))
+        self.assertEqual(None, self.client.pop_idle("10.0.0.1:80"))
         self.assertTrue(peer.transport.is_aborted)
 
     def test_cancelled_call_says_nothing(self) -> None:
@@ -158,4 +162,4 @@
             (b"timeout=x", 0.8),
             (b"timeout=0", 0.0),
         ):
-            self.assertEqual(expected, keep_s(value), value)
+            self.assertEqual(expected, parse_keep_alive(value), value)
