--- a/sequoiawind/headers.py
+++ b/sequoiawind/headers.py
@@ -6,7 +6,7 @@
 
 from sequoiawind import defaults
 
-# Names in lower case, in the order in which they came.
+# Names in lower case, in order of arrival.
 Headers = list[tuple[bytes, bytes]]
 
 DEFAULT_HEADER_BYTES: Final = 16_384
@@ -24,7 +24,13 @@
 
 
 def passed_headers(headers: Headers, dropped: frozenset[bytes]) -> Headers:
-    """Return headers without those that concern one connection only."""
+    """Return headers without the hop-by-hop ones.
+
+    Args:
+      headers: Headers as received.
+      dropped: Names to leave out, besides those that a Connection header
+        lists.
+    """
     named = {
         name.strip().lower()
         for key, value in headers
--- a/sequoiawind/openai_format.py
+++ b/sequoiawind/openai_format.py
@@ -1,7 +1,7 @@
 """The OpenAI wire format for completions: chunks, whole answers, errors.
 
 Source: the public OpenAI API reference, "Chat Completions" and
-"Completions".  Routers assemble whole answers and shape errors; the engine
+"Completions".  Routers assemble whole answers and format errors; the engine
 stand-in makes chunks.
 """
 
@@ -17,8 +17,8 @@
 TEXT_PATH: Final = "/v1/completions"
 MODELS_PATH: Final = "/v1/models"
 DONE: Final = b"[DONE]"
-# The time in answers is that of the format's first version, so that answers
-# of one request are equal wherever they are computed.
+# The `created` time in answers is fixed to that of the format's first version,
+# so that the answers to one request are equal wherever they are computed.
 CREATED: Final = 0
 
 Json = dict[str, Any]
@@ -84,7 +84,7 @@
 
 
 class FormatError(ValueError):
-    """A chunk that does not have the format."""
+    """A chunk that does not have the expected format."""
 
 
 def text_of(path: str, data: bytes) -> str:
@@ -101,7 +101,7 @@
             return str(choice["delta"].get("content") or "")
         return str(choice.get("text") or "")
     except (ValueError, LookupError, TypeError, AttributeError) as error:
-        raise FormatError(f"chunk {data[:80]!r}") from error
+        raise FormatError(f"malformed chunk {data[:80]!r}") from error
 
 
 def joined_text(path: str, chunks: Sequence[bytes]) -> str:
@@ -147,7 +147,7 @@
 
 
 def count_in(body: Mapping[str, Any], name: str) -> int:
-    """Return a count that an engine reports; 0 if it makes no sense."""
+    """Return a count that an engine reports; 0 if not a positive integer."""
     value = body.get(name)
     return value if isinstance(value, int) and value > 0 else 0
 
@@ -163,7 +163,7 @@
 
 
 def error_body(failure: Failure) -> bytes:
-    """Return the error body that the stock client understands."""
+    """Return the error body in the form that the stock client parses."""
     return encode(
         {
             "error": {
@@ -178,7 +178,7 @@
 
 
 def error_type(status: int) -> str:
-    """Return the error class of an HTTP status."""
+    """Return the OpenAI error type of an HTTP status."""
     if status == 401:
         return "authentication_error"
     if status == 429:
--- a/sequoiawind/sockets.py
+++ b/sequoiawind/sockets.py
@@ -1,17 +1,17 @@
 """Options of the sockets that carry requests.
 
-A peer that has lost its power or its link answers nothing, not even a reset;
-only these options and the callers' own time-outs show it.
+A peer that has lost its power or its link sends nothing, not even a reset;
+only these options and the callers' own time-outs detect it.
 """
 
 import socket
 from typing import Any, Final
 
-# Unacknowledged bytes for this long mean that the peer cannot be reached.
-# Three times the usual retransmission time-out of a link inside a region.
+# The peer counts as unreachable once bytes stay unacknowledged for this long:
+# three times the usual retransmission time-out of a link inside a region.
 USER_TIMEOUT_MS: Final = 1_500
-# Idle time before a probe, time between probes, and probes without answer
-# that end a connection: found out within 3 s in all.
+# Idle time before a probe, time between probes, and unanswered probes that
+# end a connection; together they detect a dead peer within 3 s.
 KEEPALIVE_IDLE_S: Final = 1
 KEEPALIVE_INTERVAL_S: Final = 1
 KEEPALIVE_PROBES: Final = 2
--- a/sequoiawind/sse.py
+++ b/sequoiawind/sse.py
@@ -1,7 +1,7 @@
-"""Server-sent events, as far as answers need them.
+"""Server-sent events: the subset that answers use.
 
 Source: WHATWG HTML, section "Server-sent events".  The ``id`` field carries
-attempt and chunk index, so that relays need not parse the data.
+the attempt and the chunk's index, so that relays need not parse the data.
 """
 
 from collections.abc import Iterator
@@ -39,7 +39,7 @@
 
 
 def data_event(data: bytes) -> bytes:
-    """Return an event that carries only data, as callers get it."""
+    """Return an event that carries only data, in the form sent to callers."""
     return b"data: " + data + END
 
 
@@ -51,7 +51,7 @@
     """
     attempt_id, _, index = event.id.partition(b":")
     if not index.isdigit():
-        raise SseError(f"event id {event.id!r}")
+        raise SseError(f"malformed event id {event.id!r}")
     return attempt_id.decode("ascii", "replace"), int(index)
 
 
@@ -63,7 +63,7 @@
     max_bytes: int = defaults.MAX_BODY_BYTES
 
     def feed(self, data: bytes) -> Iterator[Event]:
-        """Yield the events that are complete.
+        """Yield the events completed by the data; keep the rest.
 
         Raises:
           SseError: An event is longer than allowed.
@@ -80,9 +80,9 @@
 
 
 def parse_event(text: bytes) -> Event:
-    """Return the event in a block of lines."""
+    """Return the event that a block of lines encodes."""
     if text.startswith(b"id: "):
-        # Nearly all events: an id and one line of data.
+        # Fast path for nearly all events: an id and one line of data.
         head, _, data = text.partition(b"\ndata: ")
         if data and b"\n" not in data and b"\n" not in head:
             return Event(id=head[4:], data=data)
--- a/sequoiawind/timing.py
+++ b/sequoiawind/timing.py
@@ -1,4 +1,4 @@
-"""Waiting on a clock, real or virtual."""
+"""Delays and time-outs on a clock, real or virtual."""
 
 import random
 from typing import TypeVar, cast
@@ -30,5 +30,5 @@
 
 
 def jittered(period_s: float, share: float, source: random.Random) -> float:
-    """Return a period spread evenly by plus or minus a share of itself."""
+    """Return a period with uniform jitter of plus or minus a share of it."""
     return period_s * (1.0 + share * (2.0 * source.random() - 1.0))
--- a/sequoiawind/tokens.py
+++ b/sequoiawind/tokens.py
@@ -1,4 +1,4 @@
-"""Callers' and operators' bearer tokens, kept as digests."""
+"""Callers' and operators' bearer tokens, stored as digests."""
 
 import hashlib
 import hmac
@@ -11,12 +11,12 @@
 
 
 def token_digest(token: str) -> str:
-    """Return the digest by which a bearer token is kept."""
+    """Return the digest under which a bearer token is stored."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def holder_of(token: str, by_digest: Mapping[str, Holder]) -> Holder | None:
-    """Return whom a bearer token belongs to.
+    """Return the holder of a bearer token; None if the token is unknown.
 
     The look-up is by digest; the comparison is in constant time.
     """
