--- a/sequoiawind/openai_format.py
+++ b/sequoiawind/openai_format.py
@@ -163,7 +163,7 @@
 
 
 def error_body(failure: Failure) -> bytes:
-    """Return the error body in the form that the stock client parses."""
+    """Return the error body in the form the stock OpenAI client parses."""
     return encode(
         {
             "error": {
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers on real sockets: the stock client, refusals, bad input."""
+"""Callers on real sockets: the stock OpenAI client, refusals, bad input."""
 
 import json
 import socket
@@ -19,7 +19,7 @@
 
 
 def client(token: str = live.TOKEN, number: int = 0) -> openai.OpenAI:
-    """Return the stock client, with only address and key set."""
+    """Return the stock OpenAI client, with only address and key set."""
     base = live.shared().url(number)
     return openai.OpenAI(base_url=f"{base}/v1", api_key=token, max_retries=0)
 
@@ -38,8 +38,8 @@
         return error.code, dict(error.headers), error.read()
 
 
-def raw(data: bytes) -> bytes:
-    """Send bytes to a router and return what it answers until it closes."""
+def send_raw(data: bytes) -> bytes:
+    """Send bytes to a router; return its answer up to the close."""
     host, port = live.shared().url().removeprefix("http://").split(":")
     with socket.create_connection((host, int(port)), timeout=20) as sock:
         sock.sendall(data)
@@ -54,7 +54,7 @@
 
 
 class StockClientTest(TestCase):
-    """The stock client works with only base_url and api_key set."""
+    """The stock OpenAI client works with only base_url and api_key set."""
 
     def test_models(self) -> None:
         names = [model.id for model in client().models.list()]
@@ -120,7 +120,7 @@
         )
         self.assertEqual("no_route", error.code)
 
-    def test_rate_limit_names_when_to_come_back(self) -> None:
+    def test_rate_limit_has_a_retry_after_header(self) -> None:
         small = client("small-token")
         errors: list[openai.RateLimitError] = []
         for _ in range(3):
@@ -137,7 +137,7 @@
 
 
 class BadInputTest(TestCase):
-    """Bad input gets a clear answer and disturbs nobody else."""
+    """Bad input gets an error reply and does not disturb other callers."""
 
     def check_status(self, expected: int, body: bytes) -> None:
         status, headers, _ = call(TEXT_PATH, body, AUTH)
@@ -163,7 +163,7 @@
             self.check_status(400, json.dumps(body).encode())
 
     def test_announced_body_too_large(self) -> None:
-        answer = raw(
+        answer = send_raw(
             b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
             b"Content-Length: 99999999\r\n\r\n"
         )
@@ -172,7 +172,7 @@
     def test_chunked_body_too_large(self) -> None:
         part = b"100000\r\n" + b"x" * 0x100000 + b"\r\n"
         try:
-            answer = raw(
+            answer = send_raw(
                 b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
                 b"Transfer-Encoding: chunked\r\n\r\n" + part * 5
             )
@@ -182,7 +182,9 @@
         self.assertIn(b" 413 ", answer.split(b"\r\n")[0])
 
     def test_header_too_long(self) -> None:
-        answer = raw(b"GET /healthz HTTP/1.1\r\nHost: x\r\nA: " + b"x" * 40000)
+        answer = send_raw(
+            b"GET /healthz HTTP/1.1\r\nHost: x\r\nA: " + b"x" * 40000
+        )
         self.assertNotIn(b" 200 ", answer.split(b"\r\n")[0])
 
     def test_peer_paths_need_the_secret(self) -> None:
@@ -197,7 +199,7 @@
 
 
 class PlainServiceTest(TestCase):
-    """Plain services, and actions that must not repeat."""
+    """Plain services, and actions that must run at most once."""
 
     def book(
         self, key: str, body: bytes, number: int = 0
@@ -214,13 +216,13 @@
         count: int = live.shared().plain.by_key[f"nordlys/{key}"]
         return count
 
-    def test_lookup_is_passed_through(self) -> None:
+    def test_lookup_is_forwarded(self) -> None:
         status, headers, body = call("/status/K7", b"{}", AUTH)
         self.assertEqual(200, status)
         self.assertEqual("done", headers["X-Sequoiawind-Verdict"])
         self.assertEqual("/status/K7", json.loads(body)["path"])
 
-    def test_repeat_gets_the_first_answer(self) -> None:
+    def test_repeated_key_gets_the_first_answer(self) -> None:
         key = self.new_key()
         first = self.book(key, b"{}", 0)
         second = self.book(key, b"{}", 1)
@@ -262,7 +264,7 @@
         )
         return status, json.loads(body)
 
-    def test_show_says_who_answered(self) -> None:
+    def test_show_counts_the_daemons_that_answered(self) -> None:
         status, answer = self.run_statement("show targets order by name")
         self.assertEqual(200, status)
         self.assertEqual(answer["expected"], answer["answered"])
@@ -283,7 +285,7 @@
         status, _ = self.run_statement("show targets", live.TOKEN)
         self.assertEqual(401, status)
 
-    def test_error_points_at_the_place(self) -> None:
+    def test_syntax_error_marks_its_position(self) -> None:
         status, answer = self.run_statement("show tagets")
         self.assertEqual(400, status)
         self.assertIn("     ^", answer["message"])
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -1,4 +1,4 @@
-"""Answers from targets: whole, ours, and proof of what was sent."""
+"""The HTTP/1.1 client: complete, foreign and failed answers."""
 
 import attrs
 from testtools import TestCase
@@ -29,8 +29,8 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Notes:
-    """A sink that notes what it is told."""
+class RecordingSink:
+    """A sink that records the calls that it receives."""
 
     status: int = 0
     body: bytes = b""
@@ -38,36 +38,36 @@
     failure: Failure | None = None
 
     def head(self, status: int, headers: Headers) -> None:
-        """Note the head."""
+        """Record the status."""
         self.status = status
 
     def data(self, data: bytes) -> None:
-        """Note a part."""
+        """Record a part of the body."""
         self.body += data
 
     def done(self) -> None:
-        """Note the end."""
+        """Record the end."""
         self.is_done = True
 
     def failed(self, failure: Failure) -> None:
-        """Note the failure."""
+        """Record the failure."""
         self.failure = failure
 
 
 class AnswerTest(TestCase):
-    """What counts as an answer."""
+    """Which bytes count as a complete answer to a request."""
 
     def setUp(self) -> None:
         super().setUp()
         self.reactor = MemoryReactorClock()
         self.client = Http1Client(reactor=self.reactor)
 
-    def call(self) -> tuple[Peer, Notes]:
+    def call(self) -> tuple[Peer, RecordingSink]:
         self.reactor = MemoryReactorClock()
         self.client = Http1Client(reactor=self.reactor)
-        notes = Notes()
-        self.client.call("10.0.0.1:80", REQUEST, notes)
-        return accept(self.reactor), notes
+        sink = RecordingSink()
+        self.client.call("10.0.0.1:80", REQUEST, sink)
+        return accept(self.reactor), sink
 
     def test_request_bytes(self) -> None:
         peer, _ = self.call()
@@ -78,29 +78,29 @@
         )
 
     def test_whole_answer_keeps_the_connection(self) -> None:
-        peer, notes = self.call()
+        peer, sink = self.call()
         peer.protocol.dataReceived(OWN)
-        self.assertTrue(notes.is_done)
-        again = Notes()
-        self.client.call("10.0.0.1:80", REQUEST, again)
+        self.assertTrue(sink.is_done)
+        next_sink = RecordingSink()
+        self.client.call("10.0.0.1:80", REQUEST, next_sink)
         peer.protocol.dataReceived(OWN)
         self.assertEqual(1, len(self.reactor.tcpClients))
-        self.assertEqual(b"new", again.body)
+        self.assertEqual(b"new", next_sink.body)
 
     def test_answer_of_another_request_is_skipped(self) -> None:
         for data in (FOREIGN + OWN, FOREIGN):
-            peer, notes = self.call()
+            peer, sink = self.call()
             peer.protocol.dataReceived(data)
             if data == FOREIGN:
-                self.assertFalse(notes.is_done)
+                self.assertFalse(sink.is_done)
                 peer.protocol.dataReceived(OWN)
-            self.assertEqual(b"new", notes.body)
-            self.assertTrue(notes.is_done)
+            self.assertEqual(b"new", sink.body)
+            self.assertTrue(sink.is_done)
 
-    def test_bytes_left_over_close_the_connection(self) -> None:
-        peer, notes = self.call()
+    def test_bytes_after_an_answer_close_the_connection(self) -> None:
+        peer, sink = self.call()
         peer.protocol.dataReceived(OWN + b"more")
-        self.assertTrue(notes.is_done)
+        self.assertTrue(sink.is_done)
         self.assertTrue(peer.transport.is_aborted)
 
     def test_bytes_without_a_request_close_the_connection(self) -> None:
@@ -110,7 +110,7 @@
         self.assertTrue(peer.transport.is_aborted)
         self.assertEqual(None, self.client.pop_idle("10.0.0.1:80"))
 
-    def test_ends_of_connections(self) -> None:
+    def test_connection_end_completes_close_delimited_answers(self) -> None:
         closed = TwistedFailure(error.ConnectionDone())
         reset = TwistedFailure(error.ConnectionLost())
         for data, reason, is_done in (
@@ -120,39 +120,39 @@
             (b"", closed, False),
             (b"not an answer\r\n\r\n", closed, False),
         ):
-            peer, notes = self.call()
+            peer, sink = self.call()
             if data:
                 peer.protocol.dataReceived(data)
             peer.protocol.connectionLost(reason)
-            self.assertEqual(is_done, notes.is_done, data)
+            self.assertEqual(is_done, sink.is_done, data)
             if not is_done:
-                assert notes.failure is not None
-                self.assertEqual(Verdict.MAY_HAVE_RUN, notes.failure.verdict)
+                assert sink.failure is not None
+                self.assertEqual(Verdict.MAY_HAVE_RUN, sink.failure.verdict)
 
-    def test_not_connected_is_not_run(self) -> None:
-        notes = Notes()
-        self.client.call("10.0.0.1:80", REQUEST, notes)
+    def test_failed_connect_is_not_run(self) -> None:
+        sink = RecordingSink()
+        self.client.call("10.0.0.1:80", REQUEST, sink)
         factory = self.reactor.tcpClients[-1][2]
         refused = TwistedFailure(error.ConnectionRefusedError())
         factory.clientConnectionFailed(None, refused)
-        assert notes.failure is not None
-        self.assertEqual(Verdict.NOT_RUN, notes.failure.verdict)
+        assert sink.failure is not None
+        self.assertEqual(Verdict.NOT_RUN, sink.failure.verdict)
 
-    def test_idle_connection_is_not_used_for_long(self) -> None:
+    def test_connection_idle_for_too_long_is_closed(self) -> None:
         peer, _ = self.call()
         peer.protocol.dataReceived(OWN)
         self.reactor.advance(10.0)
         self.assertEqual(None, self.client.pop_idle("10.0.0.1:80"))
         self.assertTrue(peer.transport.is_aborted)
 
-    def test_cancelled_call_says_nothing(self) -> None:
-        notes = Notes()
-        call = self.client.call("10.0.0.1:80", REQUEST, notes)
+    def test_cancelled_call_reports_nothing(self) -> None:
+        sink = RecordingSink()
+        call = self.client.call("10.0.0.1:80", REQUEST, sink)
         peer = accept(self.reactor)
         call.cancel()
         self.assertTrue(peer.transport.is_aborted)
         peer.protocol.connectionLost(TwistedFailure(error.ConnectionLost()))
-        self.assertEqual(None, notes.failure)
+        self.assertEqual(None, sink.failure)
 
     def test_keep_alive(self) -> None:
         for value, expected in (
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -1,4 +1,4 @@
-"""Callers' bytes: requests, what is no request, and broken answers."""
+"""The HTTP/1.1 server: requests, malformed input, aborted answers."""
 
 from testtools import TestCase
 from twisted.internet.task import Clock
@@ -12,7 +12,7 @@
 
 
 class CallerTest(TestCase):
-    """One caller's connection."""
+    """Requests and answers on a caller's connection."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -40,7 +40,7 @@
         connection.makeConnection(transport)
         return connection, transport
 
-    def test_requests(self) -> None:
+    def test_requests_in_parts_and_whole(self) -> None:
         chunked = (
             b"POST /a?q=1 HTTP/1.1\r\nHost: h\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
@@ -59,7 +59,7 @@
                 self.assertEqual(target, request.target)
                 self.assertEqual(body, request.body)
 
-    def test_no_requests(self) -> None:
+    def test_invalid_requests_are_refused(self) -> None:
         for data, status in (
             (b"hello\r\n\r\n", b"400"),
             (b"GET /a HTTP/1.1\r\n\r\n", b"400"),
@@ -87,7 +87,7 @@
             self.assertIn(status, transport.value()[:20], data[:60])
             self.assertTrue(transport.disconnecting)
 
-    def test_slow_head_and_idle(self) -> None:
+    def test_slow_head_and_idle_connection_time_out(self) -> None:
         connection, transport = self.connect()
         connection.dataReceived(GET[:5])
         self.clock.advance(3.1)
@@ -98,7 +98,7 @@
         self.clock.advance(1.1)
         self.assertTrue(transport.disconnecting)
 
-    def test_requests_ahead_are_answered_in_order(self) -> None:
+    def test_pipelined_requests_are_answered_in_order(self) -> None:
         connection, transport = self.connect()
         connection.dataReceived(GET + GET.replace(b"/a", b"/b"))
         self.assertEqual(1, len(self.taken))
@@ -108,7 +108,7 @@
         connection.reply(200, [], b"two")
         self.assertTrue(transport.value().endswith(b"two"))
 
-    def test_broken_stream_does_not_look_complete(self) -> None:
+    def test_aborted_stream_does_not_look_complete(self) -> None:
         connection, transport = self.connect()
         connection.dataReceived(GET)
         connection.send_head(200, [])
@@ -118,17 +118,17 @@
         self.assertNotIn(b"0\r\n\r\n", transport.value())
         self.assertTrue(transport.disconnecting)
 
-    def test_caller_gone(self) -> None:
+    def test_disconnect_is_reported(self) -> None:
         connection, _ = self.connect()
         connection.dataReceived(GET)
         gone: list[bool] = []
         connection.on_gone = lambda: gone.append(True)
         connection.connectionLost()
         self.assertEqual([True], gone)
-        # Answers for who has gone go nowhere.
+        # An answer after the disconnect is discarded.
         connection.reply(200, [], b"late")
 
-    def test_leaving(self) -> None:
+    def test_closing_site_finishes_answers_and_closes_idle(self) -> None:
         connection, transport = self.connect()
         idle, idle_transport = self.connect()
         connection.dataReceived(GET)
