--- a/sequoiawind/agent_http.py
+++ b/sequoiawind/agent_http.py
@@ -75,8 +75,8 @@
         app.route("/readyz", methods=["GET"])(self.ready)
         return app
 
-    def is_refused(self, request: server.Request) -> bool:
-        """Refuse a call without the secret; return whether it was refused."""
+    def refuse_without_secret(self, request: server.Request) -> bool:
+        """Set status 401 and return True if a call lacks the secret."""
         if http_server.has_secret(request, self.secret):
             return False
         request.setResponseCode(http.UNAUTHORIZED)
@@ -84,7 +84,7 @@
 
     def attempt(self, request: server.Request) -> Deferred[None] | bytes:
         """Run an attempt and stream its events."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             failure = not_run(Reason.UNAUTHENTICATED, messages.UNAUTHENTICATED)
             return wire.encode(failure)
         try:
@@ -103,7 +103,7 @@
 
     def probe(self, request: server.Request) -> bytes:
         """Answer how soon a request could start."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             return b"{}"
         try:
             probe = wire.decode(http_server.body_of(request), Probe)
@@ -114,7 +114,7 @@
 
     def cancel(self, request: server.Request, attempt_id: str) -> bytes:
         """Cancel an attempt."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             return b"{}"
         relay = self.agent.relays.get(attempt_id)
         if relay is not None:
@@ -123,7 +123,7 @@
 
     def report(self, request: server.Request) -> bytes:
         """Return this daemon's report to a router that answers an operator."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             return b"{}"
         report: DaemonReport = agent_report(
             self.name, self.domain, self.agent, self.board
@@ -132,7 +132,7 @@
 
     def config(self, request: server.Request) -> bytes:
         """Return the configuration snapshot to a starting process."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             return b"{}"
         snapshot = self.board.snapshot().encode()
         return http_server.json_reply(request, snapshot)
--- a/sequoiawind/http1_client.py
+++ b/sequoiawind/http1_client.py
@@ -51,7 +51,7 @@
 
 
 class AnswerSink(Protocol):
-    """Receives an answer; exactly one of `done` and `failed` ends it."""
+    """Receives an answer, ended by exactly one of `done` and `failed`."""
 
     def head(self, status: int, headers: Headers) -> None:
         """Receive the answer's status and headers."""
--- a/sequoiawind/http_server.py
+++ b/sequoiawind/http_server.py
@@ -22,7 +22,7 @@
 REQUEST_ID_HEADER: Final = "X-Request-Id"
 VERDICT_HEADER: Final = "X-Sequoiawind-Verdict"
 ATTEMPTS_HEADER: Final = "X-Sequoiawind-Attempts"
-CACHED_HEADER: Final = "X-Sequoiawind-Cached-Tokens"
+CACHED_TOKENS_HEADER: Final = "X-Sequoiawind-Cached-Tokens"
 KEY_HEADER: Final = "Idempotency-Key"
 JSON_TYPE: Final = "application/json"
 
--- a/sequoiawind/router_http.py
+++ b/sequoiawind/router_http.py
@@ -74,7 +74,7 @@
         usage = openai_format.usage_of(self.chunks[-2])
         if usage is not None:
             cached = str(usage.cached_tokens)
-            self.request.setHeader(http_server.CACHED_HEADER, cached)
+            self.request.setHeader(http_server.CACHED_TOKENS_HEADER, cached)
         self.begin(http.OK, http_server.JSON_TYPE, Verdict.DONE)
         self.request.write(openai_format.whole_answer(self.path, self.chunks))
 
@@ -262,8 +262,8 @@
 
         return Deferred.fromCoroutine(run())
 
-    def is_refused(self, request: server.Request) -> bool:
-        """Refuse a call without the secret; return whether it was refused."""
+    def refuse_without_secret(self, request: server.Request) -> bool:
+        """Set status 401 and return True if a call lacks the secret."""
         if http_server.has_secret(request, self.secret):
             return False
         request.setResponseCode(http.UNAUTHORIZED)
@@ -271,21 +271,21 @@
 
     def report(self, request: server.Request) -> bytes:
         """Return this daemon's report to another router."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             return b"{}"
         report = wire.encode(self.admin.own_report())
         return http_server.json_reply(request, report)
 
     def config(self, request: server.Request) -> bytes:
         """Return the configuration snapshot to a starting process."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             return b"{}"
         snapshot = self.board.snapshot().encode()
         return http_server.json_reply(request, snapshot)
 
     def demand(self, request: server.Request) -> bytes:
         """Record the demand reported by another router."""
-        if self.is_refused(request):
+        if self.refuse_without_secret(request):
             return b"{}"
         try:
             message = wire.decode(
--- a/sequoiawind/wire.py
+++ b/sequoiawind/wire.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class LoadReport:
-    """A target's load as its agent knows it; sent along with answers."""
+    """A target's state as its agent knows it; sent along with answers."""
 
     target: str = ""
     # Incarnation of the target; changes when it restarts.
