--- a/sequoiawind/course.py
+++ b/sequoiawind/course.py
@@ -1,8 +1,8 @@
-"""The course of one request: one attempt after another, and exactly one end.
+"""Base classes for one request: successive attempts and exactly one outcome.
 
-What the exchanges through agents and the forwarding to targets have in common:
-the deadline, the timer of the attempt under way, what a caller's leaving and
-the end of its time do to it, and the verdict that covers all attempts.
+Shared by the exchanges through agents and the forwarding to targets: the
+request's deadline, the timer of the current attempt, cancellation, and the
+verdict over all attempts.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class OpenAttempt:
-    """One try at one target."""
+    """One attempt to run a request at one target."""
 
     clock: Clock
     call: Call | None = None
@@ -30,17 +30,22 @@
     is_over: bool = False
 
     def watch(self, timeout_s: float, on_silence: Callable[[], None]) -> None:
-        """Wait for a sign of the target from now on, and no longer."""
+        """Start or restart the attempt's timeout.
+
+        Args:
+          timeout_s: Time until the timeout, in seconds.
+          on_silence: Called when the target has sent nothing until then.
+        """
         self.stop_timer()
         self.timer = self.clock.callLater(timeout_s, on_silence)
 
     def stop_timer(self) -> None:
-        """Wait for no sign of the target."""
+        """Cancel the attempt's timeout, if one is pending."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
 
     def close(self) -> bool:
-        """Take nothing more; whether the attempt was open."""
+        """Close the attempt; return whether it was open."""
         if self.is_over:
             return False
         self.is_over = True
@@ -49,31 +54,31 @@
         return True
 
     def release(self) -> None:
-        """Give back what the attempt held of its target's places."""
+        """Release the capacity that the attempt holds at its target."""
 
     def cancel(self) -> None:
-        """Stop an attempt that is open."""
+        """Close the attempt and cancel its call, if it is open."""
         if self.close() and self.call is not None:
             self.call.cancel()
 
 
 @attrs.define(kw_only=True, eq=False)
 class Course:
-    """A request on its way."""
+    """A request that has not ended: its attempts, deadline and outcome."""
 
     clock: Clock
     current: OpenAttempt | None = None
     deadline: Timer | None = None
-    # Whether some attempt may have run.
+    # Whether some attempt may have run the request.
     is_tainted: bool = False
     is_finished: bool = False
 
     def start_deadline(self, left_s: float) -> None:
-        """Give the request a final answer after so many seconds."""
-        self.deadline = self.clock.callLater(left_s, self.time_is_up)
+        """Start the request's deadline, `left_s` seconds from now."""
+        self.deadline = self.clock.callLater(left_s, self.deadline_passed)
 
-    def time_is_up(self) -> None:
-        """Give up at the end of the request's time."""
+    def deadline_passed(self) -> None:
+        """End the request with `Reason.DEADLINE`."""
         if self.is_finished:
             return
         was_open = self.current is not None and not self.current.is_over
@@ -86,23 +91,23 @@
         raise NotImplementedError
 
     def note_verdict(self, failure: Failure) -> None:
-        """Remember that an attempt may have run."""
+        """Record whether a failed attempt may have run the request."""
         if failure.verdict is not Verdict.NOT_RUN:
             self.is_tainted = True
 
     def covering(self, failure: Failure) -> Failure:
-        """Return a failure with the verdict on all attempts together."""
+        """Return the failure with the verdict over all attempts."""
         if self.is_tainted and failure.verdict is Verdict.NOT_RUN:
             return attrs.evolve(failure, verdict=Verdict.MAY_HAVE_RUN)
         return failure
 
     def cancel_current(self) -> None:
-        """Stop the attempt under way, if there is one."""
+        """Cancel the current attempt, if there is one."""
         if self.current is not None:
             self.current.cancel()
 
     def close(self) -> None:
-        """Decide nothing more."""
+        """Mark the request as finished and cancel its deadline."""
         self.is_finished = True
         if self.deadline is not None and self.deadline.active():
             self.deadline.cancel()
--- a/sequoiawind/forward_plan.py
+++ b/sequoiawind/forward_plan.py
@@ -1,4 +1,7 @@
-"""What the configuration says of a request that is to be forwarded."""
+"""Matching forwarded requests with the configuration.
+
+A plan holds a request with its account, route, kind and pool.
+"""
 
 import random
 from typing import Final
@@ -20,17 +23,17 @@
 from sequoiawind.prompt_cache import Prompt
 from sequoiawind.verdict import Failure, Reason, not_run
 
-# When to come back after a refusal that a configuration ends, in seconds:
+# Retry-after of a refusal for a missing or stale configuration, in seconds:
 # the usual time between two confirmations by the store.
 CONFIG_RETRY_AFTER_S: Final = 0.5
-ANYBODY: Final = ForwardAccount(name="")
+ANONYMOUS: Final = ForwardAccount(name="")
 
 
 @attrs.frozen(kw_only=True)
 class ForwardRequest:
-    """A caller's request, freed of the names on the wire."""
+    """A caller's request, independent of its wire format."""
 
-    # Id that the caller gave this attempt.
+    # Id that the caller assigned to this attempt.
     request_id: str
     host: str
     # Path without the query.
@@ -41,10 +44,10 @@
     # Headers to pass on.
     headers: Headers
     body: bytes
-    # The caller's key; empty if it sent none.
+    # The caller's API key; empty if it sent none.
     key: str
     arrived_s: float
-    # How long the caller will wait from `arrived_s` on; None if it did not say.
+    # How long the caller waits, counted from `arrived_s`; None if not stated.
     deadline_s: float | None = None
     # None for calls to plain services.
     prompt: Prompt | None = None
@@ -52,10 +55,10 @@
 
 @attrs.frozen(kw_only=True)
 class ForwardPlan:
-    """A request with what the configuration says about it."""
+    """A request with the configuration entries that apply to it."""
 
     request: ForwardRequest
-    # Version of the configuration that says so.
+    # Revision of the configuration.
     revision: int
     account: ForwardAccount
     route: ForwardRoute
@@ -64,14 +67,14 @@
 
     @property
     def priority(self) -> int:
-        """The request's rank; 0 is the most urgent."""
+        """The request's priority; 0 is the most urgent."""
         if self.account.priority is not None:
             return self.account.priority
         return self.kind.priority
 
     @property
     def ends_s(self) -> float:
-        """When the caller is due a final answer, in seconds of the clock."""
+        """The request's deadline, in seconds of the clock."""
         limit_s = self.kind.timeout_s
         if self.request.deadline_s is not None:
             limit_s = min(limit_s, self.request.deadline_s)
@@ -99,7 +102,7 @@
             )
         route = state.match(request.host, request.path)
         if route is None:
-            return Error(self.denied(Reason.NO_ROUTE, messages.NO_ROUTE))
+            return Error(self.denial(Reason.NO_ROUTE, messages.NO_ROUTE))
         account = self.account(request, route, state)
         if account.is_error():
             return Error(account.error)
@@ -139,37 +142,41 @@
     def account(
         self, request: ForwardRequest, route: ForwardRoute, state: ForwardState
     ) -> Result[ForwardAccount, Failure]:
-        """Return whom a request belongs to."""
+        """Return the client account of a request, or why it is refused."""
         known = tokens.holder_of(request.key, self.board.accounts_by_digest)
         if route.is_public or not state.accounts:
-            # A key that may be revoked by now names nobody.
+            # A key that may have been revoked counts as no key.
             if isinstance(known, ForwardAccount) and self.trusts_keys:
                 return Ok(known)
-            return Ok(ANYBODY)
+            return Ok(ANONYMOUS)
         if not isinstance(known, ForwardAccount):
             return Error(
-                self.denied(Reason.UNAUTHENTICATED, messages.UNKNOWN_KEY)
+                self.denial(Reason.UNAUTHENTICATED, messages.UNKNOWN_KEY)
             )
         if not self.trusts_keys:
-            return Error(stale())
+            return Error(stale_configuration())
         return Ok(known)
 
     @property
     def trusts_keys(self) -> bool:
-        """Whether a known key is surely not revoked for too long."""
+        """Whether known keys are current enough to be trusted.
+
+        True if none can have been revoked for longer than allowed.
+        """
         return self.freshness.may_trust_keys
 
-    def denied(self, reason: Reason, text: str) -> Failure:
-        """Return the refusal of what the configuration does not have.
+    def denial(self, reason: Reason, text: str) -> Failure:
+        """Return the refusal for a route or key that is not configured.
 
-        A configuration that may be out of date proves nothing.
+        If the configuration may be out of date, the entry may have been added
+        since, so the refusal says that the configuration is stale.
         """
         if self.freshness.may_deny:
             return not_run(reason, text)
-        return stale()
+        return stale_configuration()
 
     def pool_name(self, route: ForwardRoute) -> str:
-        """Return one of a route's pools, by their weights."""
+        """Return one of a route's pools, drawn at random by their weights."""
         if len(route.shares) < 2:
             return route.pool
         weights = [share.weight for share in route.shares]
@@ -179,13 +186,13 @@
         return drawn.pool
 
 
-def stale() -> Failure:
-    """Return the refusal of a request that a too old configuration allows."""
+def stale_configuration() -> Failure:
+    """Return the refusal of a request because the configuration is too old."""
     return not_run(
         Reason.CONFIG_STALE, messages.CONFIG_STALE, CONFIG_RETRY_AFTER_S
     )
 
 
 def urgency(plan: ForwardPlan) -> int:
-    """Return how urgent a target should take a request; 0 goes first."""
+    """Return the urgency to send to a target: 0 goes first, 9 last."""
     return max(0, min(9, plan.priority))
--- a/sequoiawind/forward_ports.py
+++ b/sequoiawind/forward_ports.py
@@ -1,7 +1,7 @@
 """Interfaces between forwarding and its transports.
 
-``platform`` implements them with the names on the wire; tests with fakes on
-a virtual clock.
+``platform`` implements them on the wire format; tests use fakes on a virtual
+clock.
 """
 
 from collections.abc import Mapping
@@ -19,11 +19,11 @@
 
 @attrs.frozen(kw_only=True)
 class SendOrder:
-    """One try of one request at one target."""
+    """One attempt to send a request to a target."""
 
     request: ForwardRequest
     target: ForwardTarget
-    # How long the target may work, in seconds.
+    # Time that the target has to answer, in seconds.
     deadline_s: float
     # Name of the caller's client account; empty for none.
     account: str
@@ -31,21 +31,21 @@
     urgency: int
     # Weights version that the target must have; None for plain services.
     version: int | None = None
-    # Text under which the target caches the prompt's parts.
+    # Salt under which the target caches the prompt's parts.
     salt: str = ""
-    # Addresses to fetch cached parts from, and to keep them at; or empty.
+    # Addresses to fetch cached parts from, and to store them at; or empty.
     source: str = ""
     keeper: str = ""
-    # Id of the last event that the caller has; None to begin.
+    # Id of the last event that the caller has; None to start from the first.
     after_event: int | None = None
-    # Where the memory of the run that goes on lies, as `ForwardPort.move` told;
-    # empty for a run of its own.
+    # Location of the memory of a moved run to continue, as returned by
+    # `ForwardPort.move`; empty for a new run.
     moved_from: str = ""
 
 
 @attrs.frozen(kw_only=True)
 class MoveOrder:
-    """A run that another target is to go on with."""
+    """An order to move a run to another target."""
 
     request_id: str
     source: ForwardTarget
@@ -59,26 +59,26 @@
     status: int
     # Headers to pass on.
     headers: Headers
-    # The target's word that it did not run the request; None if it may have.
+    # Set if the target states that it did not run the request.
     refusal: Failure | None = None
     # Weights version by model that the answer names.
     versions: Mapping[str, int] = attrs.field(factory=dict)
 
 
 class AttemptSink(Protocol):
-    """Receives an answer; ends with exactly one of the last two calls."""
+    """Receives an answer; `done` or `failed` is called exactly once."""
 
     def head(self, head: AnswerHead) -> None:
-        """The answer's head."""
+        """Receive the answer's head."""
 
     def data(self, data: bytes) -> None:
-        """A part of its body."""
+        """Receive a part of the body."""
 
     def done(self) -> None:
-        """The answer is complete."""
+        """Receive the end of a complete answer."""
 
     def failed(self, failure: Failure) -> None:
-        """No complete answer will come."""
+        """Receive the reason why there will be no complete answer."""
 
 
 class ForwardPort(Protocol):
@@ -93,17 +93,17 @@
         """Stop a run and copy its memory to another target.
 
         Returns:
-          Where the memory is, for `SendOrder.moved_from`; or why the run was
-          not moved: it goes on, or its stream ends without its end.
+          Location of the memory, for `SendOrder.moved_from`; or why the run
+          was not moved: then it continues, or its stream breaks off.
         """
 
     def drop_move(self, moved_from: str) -> None:
-        """Free the memory of a run that nobody goes on with."""
+        """Free the memory of a moved run that will not be continued."""
 
 
 @attrs.frozen(kw_only=True)
 class PartChange:
-    """A part of which a cache now holds more or fewer tokens."""
+    """A prompt part of which a cache now holds more or fewer tokens."""
 
     salt: str
     part: str
@@ -112,31 +112,31 @@
 
 @attrs.frozen(kw_only=True)
 class CacheNews:
-    """What has changed in a cache since an earlier question."""
+    """The changes of a cache since a change number."""
 
-    # Changes when the cache restarts, and then is empty.
+    # Changes when the cache restarts, which empties it.
     epoch: int
-    # Where to go on.
+    # Change number from which to continue.
     next_number: int
-    # Some changes are missing.
+    # Some changes are no longer available.
     has_gap: bool
     changes: list[PartChange]
 
 
 class CachePort(Protocol):
-    """Asks targets and keepers what they have cached."""
+    """Queries targets and keepers for changes of their caches."""
 
     async def cache_news(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheNews, Failure]:
-        """Return the changes behind a number, waiting for a first one."""
+        """Return the changes since a number, waiting for a first one."""
 
 
 class ForwardCaller(Protocol):
     """The caller's side of a forwarded request."""
 
     def send_head(self, status: int, headers: Headers) -> None:
-        """Send an answer's head, of a body whose length is not known."""
+        """Send the head of an answer whose body length is not known."""
 
     def send_data(self, data: bytes) -> None:
         """Send a part of the body."""
@@ -148,7 +148,7 @@
         """Send a whole answer."""
 
     def break_off(self) -> None:
-        """End an answer so that it does not look complete."""
+        """Abort an answer so that it does not look complete."""
 
     def refuse(self, failure: Failure) -> None:
-        """Tell why there is no answer."""
+        """Send a failure instead of an answer."""
--- a/sequoiawind/forward_state.py
+++ b/sequoiawind/forward_state.py
@@ -1,7 +1,7 @@
 """Configuration of requests that are forwarded unchanged to their targets.
 
-Extends the entries of ``state`` by what an operator's own configuration file
-says beyond the product's commands.
+Extends the entries of ``state`` with settings that come from an operator's own
+configuration file and have no counterpart in the product's commands.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,7 @@
 
     # Shares no cached prompt with other accounts.
     is_isolated: bool = False
-    # 0 is the most urgent; None leaves it to the route.
+    # 0 is the most urgent; None to use the priority of the route's kind.
     priority: int | None = None
 
 
@@ -29,13 +29,14 @@
 
     # The answer is a stream of events.
     is_stream: bool = False
-    # A broken stream may go on at another target.
+    # A broken stream may be resumed at another target.
     is_resumable: bool = False
-    # Targets to which one request may be sent.
+    # Maximum number of targets to which one request is sent.
     max_targets: int = 1
     # Time after which the caller gets a final answer, in seconds.
     timeout_s: float = 60.0
-    # Time within which an answer is of full use to the caller, in seconds.
+    # Latency within which an answer has its full value to the caller, in
+    # seconds.
     aim_s: float = 1.0
     # Longest pause between two events of a stream, in seconds; 0 if unset.
     pause_s: float = 0.0
@@ -48,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class PoolShare:
-    """A pool's part of a route's requests."""
+    """A pool's share of a route's requests."""
 
     pool: str
     weight: float
@@ -60,7 +61,7 @@
 
     host: str = ""
     shares: tuple[PoolShare, ...] = ()
-    # Needs no key.
+    # Callers need no key.
     is_public: bool = False
 
     def covers(self, path: str) -> bool:
@@ -74,11 +75,11 @@
 
     # Models whose weights the targets hold; empty for plain services.
     models: tuple[str, ...] = ()
-    # Prompt tokens that one target can keep in memory.
+    # Prompt tokens that one target can cache in memory; 0 if not stated.
     memory_tokens: int = 0
-    # Whether its targets copy the memory of runs to each other.
+    # Whether its targets can copy the memory of runs to each other.
     has_moves: bool = False
-    # Address of the pool's store of kept prompts; empty for pools of targets.
+    # Address of the store of cached prompts; empty for pools of targets.
     keeper: str = ""
 
 
@@ -86,25 +87,25 @@
 class ForwardTarget(Target):
     """One incarnation of a target, as it registered itself."""
 
-    # Where it serves, as host:port.
+    # Address at which it serves, as host:port.
     address: str = ""
     # Start of this incarnation, in milliseconds since the epoch.
     born_ms: int = 0
     is_draining: bool = False
-    # Requests that it works on at once.
+    # Requests that it runs concurrently.
     slots: int = 1
     # Weights version by model.
     versions: Mapping[str, int] = attrs.field(factory=dict)
 
     @property
     def incarnation(self) -> tuple[str, int]:
-        """What distinguishes this start of the target from any other."""
+        """Name and start time, which identify this incarnation."""
         return (self.name, self.born_ms)
 
 
 @attrs.frozen(kw_only=True)
 class ForwardState(State):
-    """The configuration as of one version of the operator's file."""
+    """The configuration from one version of the operator's file."""
 
     limits: CallerLimits = attrs.field(factory=CallerLimits)
 
--- a/sequoiawind/prompt_cache.py
+++ b/sequoiawind/prompt_cache.py
@@ -1,8 +1,8 @@
-"""Which parts of prompts the targets hold, as far as one router knows.
+"""One router's model of the prompt parts that targets have cached.
 
-A router remembers what it sent where, within the memory of a target.  What it
-does not know costs a recomputation, never a wrong answer: a target finds
-cached parts only under the salt of their account, model and version.
+A router tracks which parts it sent to which target, up to the target's memory.
+An error in the model costs a recomputation, never a wrong answer: a target
+finds cached parts only under the salt of their account, model and version.
 """
 
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class PromptPart:
-    """A part of a prompt that other prompts may begin with as well."""
+    """A part of a prompt; other prompts may share it in their prefix."""
 
     id: str
     tokens: int
@@ -22,20 +22,20 @@
 
 @attrs.frozen(kw_only=True)
 class Prompt:
-    """What a request asks of a model, without its text."""
+    """The parameters of a request to a model, without its text."""
 
     model: str
-    # Tokens of the prompt, and the most that may be made.
+    # Tokens of the prompt, and the maximum of tokens to generate.
     tokens: int
     max_tokens: int
-    # The caller's estimate of what will be made; 0 if it gave none.
+    # The caller's estimate of the generated tokens; 0 if it gave none.
     expected_tokens: int = 0
-    # In the prompt's order; the last belongs to the request or its session.
+    # In the prompt's order; the last is specific to the request or its session.
     parts: tuple[PromptPart, ...] = ()
 
     @property
     def likely_tokens(self) -> int:
-        """Tokens that will likely be made; at most those allowed."""
+        """Estimate of the generated tokens; at most `max_tokens`."""
         if not self.expected_tokens:
             return self.max_tokens
         return min(self.expected_tokens, self.max_tokens)
@@ -49,7 +49,7 @@
 
 @attrs.define(kw_only=True)
 class HeldParts:
-    """The parts that one incarnation of a target holds under salts."""
+    """The prompt parts cached by one incarnation of a target."""
 
     capacity_tokens: int
     tokens: int = 0
@@ -57,12 +57,15 @@
     parts: OrderedDict[tuple[str, str], int] = attrs.field(factory=OrderedDict)
 
     def sent(self, salt: str, parts: Sequence[PromptPart]) -> None:
-        """Note a prompt that the target reads."""
+        """Record a prompt that was sent to the target."""
         for part in parts:
             self.changed(salt, part.id, part.tokens)
 
     def changed(self, salt: str, part: str, tokens: int) -> None:
-        """Note how many tokens of a part the target holds now."""
+        """Record how many tokens of a part the target holds now.
+
+        Evicts the least recently used parts beyond the capacity.
+        """
         key = (salt, part)
         self.tokens += tokens - self.parts.pop(key, 0)
         if tokens > 0:
@@ -72,12 +75,12 @@
             self.tokens -= freed
 
     def clear(self) -> None:
-        """Forget all, as after a restart of the target."""
+        """Remove all parts, as after a restart of the target."""
         self.parts.clear()
         self.tokens = 0
 
     def held_tokens(self, salt: str, parts: Sequence[PromptPart]) -> int:
-        """Return the tokens of a prompt's beginning that are held."""
+        """Return how many tokens of a prompt's prefix are held."""
         held = 0
         for part in parts:
             tokens = self.parts.get((salt, part.id), 0)
@@ -87,14 +90,14 @@
         return held
 
     def holds(self, salt: str, part: PromptPart) -> bool:
-        """Whether a part is held as a whole."""
+        """Whether a part is held completely."""
         return self.parts.get((salt, part.id), 0) >= part.tokens
 
 
 def covered_parts(
     salt: str, parts: Sequence[PromptPart], caches: Sequence[HeldParts]
 ) -> int:
-    """Return how many parts at a prompt's beginning some cache holds."""
+    """Return how many parts of a prompt's prefix are each held by a cache."""
     count = 0
     for part in parts:
         if not any(cache.holds(salt, part) for cache in caches):
--- a/sequoiawind/retries.py
+++ b/sequoiawind/retries.py
@@ -1,8 +1,8 @@
 """Retries: which are allowed, how many, and after what pause.
 
 A failure that is not proved ``NOT_RUN`` is retried only if the kind is
-idempotent.  A budget for each client account keeps retries from multiplying
-an overload: each first attempt earns a fraction of a retry.
+idempotent.  A budget for each client account keeps retries from amplifying an
+overload: each first attempt earns a fraction of a retry.
 """
 
 import random
@@ -13,8 +13,9 @@
 from sequoiawind import defaults
 from sequoiawind.verdict import Failure, Reason, Verdict
 
-# Refusals after which the next target may well accept; they cost the target
-# almost nothing and are bounded by the walk, so they need no budget.
+# Refusals after which the next target is likely to accept.  They cost the
+# target almost nothing, and their number is bounded by the walk over the
+# targets, so they need no budget.
 SPILL_REASONS: Final = frozenset(
     {
         Reason.QUEUE_FULL,
@@ -43,13 +44,17 @@
     budgets: dict[str, Budget] = attrs.field(factory=dict)
 
     def earn(self, *names: str) -> None:
-        """Count a first attempt."""
+        """Credit each budget for a first attempt."""
         for name in names:
             budget = self.budgets.setdefault(name, Budget())
             budget.available = min(self.reserve, budget.available + self.ratio)
 
     def spend(self, *names: str) -> bool:
-        """Take one retry from each budget, or none if one is empty."""
+        """Take one retry from each budget, or none if one is exhausted.
+
+        Returns:
+          Whether the retry is allowed.
+        """
         budgets = [self.budgets.setdefault(name, Budget()) for name in names]
         if any(budget.available < 1.0 for budget in budgets):
             return False
@@ -59,7 +64,7 @@
 
 
 def may_retry(failure: Failure, is_idempotent: bool) -> bool:
-    """Whether a failure's request may be sent again."""
+    """Whether a failed request may be sent again."""
     if failure.reason is Reason.CANCELLED:
         return False
     if failure.verdict is Verdict.NOT_RUN:
@@ -72,7 +77,7 @@
 
     Args:
       attempt: 1 for the first retry.
-      source: Random numbers.
+      source: Source of randomness.
     """
     ceiling_s = defaults.BACKOFF_BASE_S * 2 ** min(attempt - 1, 16)
     return source.uniform(0.0, min(ceiling_s, defaults.BACKOFF_CAP_S))
--- a/sequoiawind/verdict.py
+++ b/sequoiawind/verdict.py
@@ -1,8 +1,8 @@
 """Outcomes of a request: whether it may have run, and why it stopped.
 
 Every hop reports a :class:`Verdict`.  A hop that cannot prove that a request
-was not run says ``MAY_HAVE_RUN``; only ``NOT_RUN`` may be sent elsewhere for
-every kind of request.
+was not run reports ``MAY_HAVE_RUN``; only a ``NOT_RUN`` request may be sent to
+another target whatever its kind.
 """
 
 import enum
@@ -72,7 +72,7 @@
     INTERNAL_ERROR = "internal_error"
 
 
-# The HTTP status that tells a caller of each reason; 503 where absent.
+# HTTP status returned for each reason; `DEFAULT_HTTP_STATUS` where absent.
 HTTP_STATUS: Final[dict[Reason, int]] = {
     Reason.BAD_REQUEST: 400,
     Reason.BODY_TOO_LARGE: 413,
@@ -100,7 +100,7 @@
 
 DEFAULT_HTTP_STATUS: Final = 503
 
-# Reasons that mean that time ran out.
+# Reasons that report a timeout.
 TIMEOUTS: Final = frozenset(
     {Reason.DEADLINE, Reason.CHUNK_TIMEOUT, Reason.START_TIMEOUT}
 )
@@ -108,26 +108,27 @@
 
 @attrs.frozen(kw_only=True)
 class Failure:
-    """A request or call that did not end with a whole answer."""
+    """A request or call that did not end with a complete answer."""
 
     verdict: Verdict
     reason: Reason
-    # A sentence for people; never parsed.
+    # Human-readable explanation; never parsed.
     detail: str = ""
-    # When the caller should come back, in seconds; None if it should not.
+    # Seconds after which the caller may retry; None if it should not.
     retry_after_s: float | None = None
 
     @property
     def http_status(self) -> int:
-        """The HTTP status code that stands for this failure."""
+        """The HTTP status code for this failure."""
         return HTTP_STATUS.get(self.reason, DEFAULT_HTTP_STATUS)
 
 
 def forwarded_status(failure: Failure) -> int:
-    """Return the status of a failed request that was to be forwarded.
+    """Return the HTTP status of a forwarded request that failed.
 
-    Callers repeat after a promise what must not repeat, so only a request
-    that is proved not to have run gets one; all others get 502 or 504.
+    Only a request that is proved not to have run keeps a status below 500 or
+    gets 503: callers rely on these and then repeat even requests that must
+    not run twice.  All others get 502 or 504.
     """
     status = failure.http_status
     if failure.verdict is Verdict.NOT_RUN:
