--- a/sequoiawind/event_stream.py
+++ b/sequoiawind/event_stream.py
@@ -1,7 +1,7 @@
-"""Cutting a stream of server-sent events into whole events.
+"""Splitting a stream of server-sent events into complete events.
 
-Only whole events are passed on, so that a stream that breaks inside an event
-can go on at another target without a seam.
+Only complete events are passed on, so that a stream that breaks inside an
+event can be resumed at another target without a partial event in between.
 """
 
 from typing import Final
@@ -14,21 +14,21 @@
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """A whole event as it came."""
+    """A complete event as received."""
 
     data: bytes
-    # Its id; None if it has none that is a number.
+    # The event's id; None if it has no numeric one.
     id: int | None
 
 
 @attrs.define(kw_only=True)
-class EventCutter:
-    """Collects bytes and gives out the events that are whole."""
+class EventSplitter:
+    """Buffers bytes and returns complete events."""
 
     rest: bytes = b""
 
     def take(self, data: bytes) -> list[Event]:
-        """Return the events that more bytes complete."""
+        """Add bytes; return the events that are complete with them."""
         *whole, self.rest = (self.rest + data).split(SEPARATOR)
         return [
             Event(data=item + SEPARATOR, id=event_id(item)) for item in whole
@@ -36,7 +36,7 @@
 
 
 def event_id(event: bytes) -> int | None:
-    """Return the id of an event; None if it has none that is a number."""
+    """Return the id of an event; None if it has no numeric one."""
     for line in event.split(b"\n"):
         name, _, value = line.partition(b":")
         if name == b"id" and value.strip().isdigit():
--- a/sequoiawind/fleet.py
+++ b/sequoiawind/fleet.py
@@ -1,7 +1,8 @@
-"""The targets that have registered, and which of them may get new work.
+"""The registered targets, and which of them may get new work.
 
-Entries that vanish while the store is away may only have lapsed: a target
-that lives registers again soon after the store's return, and is judged then.
+Entries that vanish while the store is unavailable may only have expired: a
+live target registers again soon after the store is back.  So entries missing
+after an outage are dropped only after a grace period.
 """
 
 from collections.abc import Iterable
@@ -14,45 +15,49 @@
 from sequoiawind.members import Members
 from sequoiawind.wire import TargetStatus
 
-# Time from the store's return until a missing entry counts as gone, in
-# seconds: the platform promises that live targets are back within about two.
+# Time from the store's recovery until a missing entry counts as gone, in
+# seconds: the platform guarantees that live targets register again within
+# about two.
 RETURN_GRACE_S: Final = 2.2
-# A status of an agent that is older says nothing about its target's load.
+# Age above which an agent's status is ignored as outdated, in seconds.
 STATUS_LIFETIME_S: Final = 1.2
 # How long to avoid a target that shed a request, in seconds: about the time
-# in which a target works off a full queue or loads weights.
+# in which a target drains a full queue or loads weights.
 SHED_PAUSE_S: Final = 0.25
 
 
 @attrs.define(kw_only=True)
 class TargetView:
-    """What one router knows of one incarnation of a target."""
+    """One router's state for one incarnation of a target."""
 
     target: ForwardTarget
-    # The agent's last report, and when it came; None before the first.
+    # The agent's last status, and when it arrived; None before the first.
     status: TargetStatus | None = None
     status_s: float = -1.0
-    # Requests of this router under way there.
+    # Requests of this router that are open at the target.
     open_requests: int = 0
-    # Those whose answer has not begun, and the tokens that they have to read.
-    unread_requests: int = 0
-    unread_tokens: int = 0
-    # New work goes elsewhere until then, in seconds of the clock.
+    # Those whose answer has not begun, and their tokens to prefill.
+    pending_prefills: int = 0
+    pending_prefill_tokens: int = 0
+    # Time until which the target gets no new work, in seconds of the clock.
     shed_until_s: float = -1.0
-    # Weights version by model that its answers named; newer than `target`'s.
+    # Newest weights version by model that its answers reported.
     seen_versions: dict[str, int] = attrs.field(factory=dict)
 
     def fresh_status(self, now_s: float) -> TargetStatus | None:
-        """Return the agent's report unless it is too old."""
+        """Return the agent's last status; None if it is too old."""
         if now_s - self.status_s > STATUS_LIFETIME_S:
             return None
         return self.status
 
     def takes_work(self, now_s: float, is_long: bool = False) -> bool:
-        """Whether neither its agent nor itself has said otherwise lately.
+        """Whether the target may get new work.
+
+        It may unless its agent's fresh status rules it out or the target has
+        shed a request lately.
 
         Args:
-          now_s: The time.
+          now_s: The time, in seconds of the clock.
           is_long: Whether the work may take long.
         """
         status = self.fresh_status(now_s)
@@ -64,11 +69,11 @@
         return self.shed_until_s <= now_s
 
     def is_agent_silent(self, now_s: float) -> bool:
-        """Whether an agent that was heard before is not heard any more."""
+        """Whether the agent has reported before, but not lately."""
         return self.status is not None and self.fresh_status(now_s) is None
 
     def version(self, model: str) -> int:
-        """Return the weights version that the target has of a model."""
+        """Return the newest weights version known for a model; 0 if none."""
         known = [self.target.versions.get(model, 0)]
         known.append(self.seen_versions.get(model, 0))
         if self.status is not None:
@@ -82,14 +87,17 @@
 
     members: Members = attrs.field(factory=Members)
     views: dict[str, TargetView] = attrs.field(factory=dict)
-    # Entries whose records are gone, and when each went.
+    # Names of targets whose records are gone, and when each was removed.
     missing: dict[str, float] = attrs.field(factory=dict)
-    # When the store last came back, in seconds of the clock.
+    # When the store last recovered, in seconds of the clock.
     store_back_s: float = float("-inf")
     is_store_away: bool = False
 
     def put(self, target: ForwardTarget) -> bool:
-        """Take an entry in; whether it begins a new incarnation."""
+        """Add or update an entry; return whether it is a new incarnation.
+
+        An entry older than the known incarnation is ignored.
+        """
         self.missing.pop(target.name, None)
         known = self.views.get(target.name)
         if known and known.target.incarnation == target.incarnation:
@@ -102,23 +110,23 @@
         return True
 
     def remove(self, name: str, now_s: float) -> None:
-        """Note that an entry's record is gone."""
+        """Record that an entry has vanished; drop it if that is certain."""
         if name not in self.views:
             return
         self.missing.setdefault(name, now_s)
         self.judge(now_s)
 
     def store_lost(self) -> None:
-        """Note that the store does not answer."""
+        """Record that the store does not answer."""
         self.is_store_away = True
 
     def store_back(self, now_s: float) -> None:
-        """Note that the store answers again."""
+        """Record that the store answers again."""
         self.is_store_away = False
         self.store_back_s = now_s
 
     def judge(self, now_s: float) -> None:
-        """Drop missing entries, unless they may only have lapsed."""
+        """Drop missing entries, unless they may only have expired."""
         if self.is_store_away or now_s < self.judged_at_s:
             return
         for name in self.missing:
@@ -134,7 +142,7 @@
     def usable(self, pool: str, now_s: float) -> list[TargetView]:
         """Return the targets of a pool that may get new work.
 
-        Those that fail are left out, up to a set share of the pool.
+        Failing targets are left out, up to a set share of the pool.
         """
         self.judge(now_s)
         views = [
@@ -151,9 +159,10 @@
     def ready(
         self, pool: str, now_s: float, is_long: bool = False
     ) -> list[TargetView]:
-        """Return the usable targets that would not shed a request now.
+        """Return the usable targets that take a request now.
 
-        Long work goes to a target that is about to load only if all are.
+        Targets that wind down for a load get long work only if there are no
+        others.
         """
         usable = self.usable(pool, now_s)
         ready = [view for view in usable if view.takes_work(now_s, is_long)]
@@ -162,13 +171,13 @@
         return ready
 
     def shed(self, name: str, now_s: float) -> None:
-        """Note that a target refused a request for want of room."""
+        """Avoid a target for a while after it refused a request."""
         view = self.views.get(name)
         if view is not None:
             view.shed_until_s = now_s + SHED_PAUSE_S
 
     def heard(self, name: str, status: TargetStatus, now_s: float) -> None:
-        """Take in what an agent reports of its target."""
+        """Store the status that an agent reports for its target."""
         view = self.views.get(name)
         if view is None:
             return
@@ -176,7 +185,13 @@
         view.status_s = now_s
 
     def failed(self, name: str, now_s: float, is_certain: bool) -> None:
-        """Note a failure of a target; certain ones eject it at once."""
+        """Count a failure of a target.
+
+        Args:
+          name: The target.
+          now_s: The time, in seconds of the clock.
+          is_certain: Eject the target immediately.
+        """
         health = self.members.of(name)
         if is_certain:
             least = defaults.EJECT_AFTER_FAILURES - 1
@@ -184,22 +199,22 @@
         self.members.failed(name, now_s)
 
     def routers(self, now_s: float) -> int:
-        """Return the routers that the agents hear from; 0 if not known."""
-        told = [
+        """Return the number of active routers by the agents; 0 if unknown."""
+        counts = [
             status.routers
             for view in self.views.values()
             if (status := view.fresh_status(now_s)) is not None
         ]
-        return max(told, default=0)
+        return max(counts, default=0)
 
 
 def newest_by_address(
     views: Iterable[TargetView], pool: str
 ) -> list[TargetView]:
-    """Return a pool's targets without those that another has replaced.
+    """Return a pool's targets, the newest one for each address.
 
-    The entry of a target that crashed stays for a while; one that has started
-    later at the same address shows that it is gone.
+    The entry of a crashed target stays for a while; an entry with the same
+    address and a later start shows that it is gone.
     """
     newest: dict[str, TargetView] = {}
     for view in views:
@@ -212,7 +227,7 @@
 
 
 def is_leaving(view: TargetView) -> bool:
-    """Whether a target drains, by its entry or by its agent."""
+    """Whether a target's entry or its agent's status says that it drains."""
     if view.target.is_draining:
         return True
     return view.status is not None and view.status.is_draining
--- a/sequoiawind/forward_agent.py
+++ b/sequoiawind/forward_agent.py
@@ -1,7 +1,7 @@
 """The agent beside a target that requests are forwarded to.
 
-It watches its target, tells the routers at once when it begins and ends to
-load weights, and is the only one that orders it to.
+It polls its target, notifies the routers immediately when the target begins
+and ends loading weights, and is the only process that orders it to load.
 """
 
 from collections.abc import Callable
@@ -29,36 +29,37 @@
 
 Logger = structlog.typing.FilteringBoundLogger
 
-# How often the target is asked for its report; free on its own VM.
+# Interval between the target's reports, in seconds; cheap, as the agent runs
+# on the target's VM.
 REPORT_S: Final = 0.1
 REPORT_TIMEOUT_S: Final = 0.2
-# Reports in a row without an answer after which the target counts as lost.
+# Consecutive unanswered report requests after which the target counts as lost.
 LOST_AFTER_MISSES: Final = 2
 ORDER_TIMEOUT_S: Final = 1.0
-# Time between telling the routers of a load and ordering it, in seconds: a
-# round trip inside a region, so that few requests are still on their way.
+# Time between announcing a load to the routers and ordering it, in seconds: a
+# round trip inside a region, so that few requests are still in transit.
 ANNOUNCE_S: Final = 0.03
-# Longest time for which requests that wait at the target may begin before the
-# order, in seconds; those that still wait then are refused by it.
+# Maximum time to wait before the order for the target's queue to empty, in
+# seconds; the target refuses requests that still wait then.
 QUEUE_DRAIN_S: Final = 1.0
-# How often the target is asked meanwhile, in seconds.
+# Interval between reports while the queue drains or a load runs, in seconds.
 QUEUE_CHECK_S: Final = 0.03
-# Longest time for which the end of a load is watched closely, in seconds; the
-# runs of a target in trouble may take longer.
+# Maximum time for which the end of a load is polled at that interval, in
+# seconds; the runs of a target in trouble may take longer.
 LOAD_WATCH_S: Final = 4.0
 # Time after an order without an answer before the target counts as not
 # loading, in seconds.
 UNANSWERED_S: Final = 0.5
-# Change of running or waiting requests that routers are told of.
+# Change in the number of running or waiting requests that is published.
 LOAD_STEP: Final = 4
-# The same of requests whose prompts are being read: they cost far more.
+# The same for requests in prefill, which cost far more.
 READING_STEP: Final = 2
-# Time for which a router that asked counts as one of the routers, in seconds.
-ROUTER_HEARD_S: Final = 5.0
+# Time for which a router counts as active after its last poll, in seconds.
+ROUTER_ACTIVE_S: Final = 5.0
 
 
 class PeerPort(Protocol):
-    """Asks the agents of other targets."""
+    """Interface for querying the agents of other targets."""
 
     async def status(self, address: str) -> TargetStatus | None:
         """Return the status of the target at an address; None if unknown."""
@@ -66,11 +67,11 @@
 
 @attrs.define(kw_only=True)
 class ForwardAgent:
-    """Watches and orders one target."""
+    """Polls one target and orders it to load weights."""
 
     # Address of the target.
     address: str
-    # Name of this process, as holder of the target's orders.
+    # Name of this process, sent as the holder in its orders.
     holder: str
     port: TargetPort
     clock: Clock
@@ -82,15 +83,16 @@
     # Versions by model, in the order in which they were named.
     named: dict[str, list[NamedVersion]] = attrs.field(factory=dict)
     status: TargetStatus = attrs.field(factory=TargetStatus)
-    # Routers by name, and when each asked last.
+    # Time of each router's last poll, by router name.
     routers: dict[str, float] = attrs.field(factory=dict)
     watchers: list[Deferred[None]] = attrs.field(factory=list)
-    # The order under way is announced or given until then.
+    # Time until which the target counts as loading without its own report,
+    # because an order is announced or sent; in seconds of the clock.
     loading_until_s: float = -1.0
     # Since when the target takes short runs only; None if it takes all.
-    winding_since_s: float | None = None
+    winding_down_since_s: float | None = None
     is_reachable: bool = False
-    # Reports in a row that did not come.
+    # Consecutive report requests without an answer.
     misses: int = 0
     on_order: Callable[[str], None] = attrs.field(default=lambda outcome: None)
 
@@ -105,38 +107,38 @@
         return max(found, key=lambda item: item.born_ms, default=None)
 
     async def run(self) -> None:
-        """Watch the target until the process ends."""
+        """Run `watch` repeatedly until the process ends."""
         await supervise.repeat(self.watch, "target", self.clock, self.log)
 
     async def watch(self) -> bool:
-        """Take a step after a pause; the agent goes on for ever."""
+        """Take a step, then pause; always return True, to be repeated."""
         await self.step()
         await timing.sleep(self.clock, REPORT_S)
         return True
 
     async def step(self) -> None:
-        """Ask the target for its report, and order what it lacks."""
+        """Get the target's report, and order the weights that it lacks."""
         answered = await self.port.report(self.address, REPORT_TIMEOUT_S)
         if answered.is_error():
-            self.missed(answered.error)
+            self.report_missed(answered.error)
             return
         self.misses = 0
         if not self.is_reachable:
             self.is_reachable = True
             self.log.info("target regained", orders=answered.ok.orders)
-        self.take_report(answered.ok)
+        self.publish_report(answered.ok)
         for model in self.named:
             due = await self.due(answered.ok, model)
             if due is None:
                 continue
             if self.has_wound_down(answered.ok, due):
                 await self.load(answered.ok, model, due.version)
-                self.winding_since_s = None
+                self.winding_down_since_s = None
             return
-        self.winding_since_s = None
+        self.winding_down_since_s = None
 
-    def missed(self, failure: Failure) -> None:
-        """Tell the routers of a target that does not answer."""
+    def report_missed(self, failure: Failure) -> None:
+        """Count an unanswered report request; publish the loss of a target."""
         self.misses += 1
         if self.misses < LOST_AFTER_MISSES or not self.is_reachable:
             return
@@ -146,8 +148,8 @@
             "target lost", misses=self.misses, detail=failure.detail
         )
 
-    def take_report(self, report: TargetReport) -> None:
-        """Tell the routers what has changed."""
+    def publish_report(self, report: TargetReport) -> None:
+        """Publish the status that follows from the target's report."""
         now_s = self.clock.seconds()
         target = self.target
         self.publish(
@@ -159,7 +161,7 @@
                 reading=report.reading,
                 used_tokens=report.used_tokens,
                 is_loading=report.is_busy or now_s < self.loading_until_s,
-                is_winding_down=self.winding_since_s is not None,
+                is_winding_down=self.winding_down_since_s is not None,
                 is_draining=report.is_draining,
                 versions=dict(report.versions),
                 routers=self.count_routers(now_s),
@@ -167,7 +169,7 @@
         )
 
     def publish(self, status: TargetStatus) -> None:
-        """Make a status known, and wake the routers if it matters."""
+        """Store a status and notify waiting routers, if it differs enough."""
         old = self.status
         if not differs(old, status):
             return
@@ -179,13 +181,13 @@
     # Weights.
 
     def weights_named(self, model: str, version: int, is_late: bool) -> None:
-        """Note that an operator has named newer weights.
+        """Record that an operator has named newer weights.
 
         Args:
           model: The model.
           version: Its new weights version.
           is_late: It may have been named long ago, as before a restart; the
-            target then loads it without its turn.
+            target then loads it without waiting for its turn.
         """
         named_s = float("-inf") if is_late else self.clock.seconds()
         rollout.add_version(
@@ -194,7 +196,7 @@
         )
 
     async def due(self, report: TargetReport, model: str) -> Due | None:
-        """Return what to load of a model; None if nothing is to be done yet."""
+        """Return a model's version to load; None if nothing is due yet."""
         target = self.target
         lacked = rollout.lacking(report.versions.get(model), self.named[model])
         if report.is_busy or target is None or not lacked:
@@ -210,7 +212,7 @@
         ]
         turn = rollout.turn(target.name, pool, self.weights_s)
         ahead: list[Progress] = []
-        for name in turn.behind:
+        for name in turn.predecessors:
             ahead.append(await self.progress(name, model, newest))
             if ahead.count(Progress.ABSENT) < len(ahead) - 1:
                 break
@@ -218,7 +220,7 @@
         return None if is_turn is None else Due(version=newest, is_turn=is_turn)
 
     async def progress(self, name: str, model: str, version: int) -> Progress:
-        """Return how far another target has come with a version."""
+        """Return how far another target is with a version."""
         view = self.fleet.views.get(name)
         if view is None:
             return Progress.ABSENT
@@ -231,20 +233,20 @@
         return Progress.LOADED if is_done else Progress.WAITING
 
     def has_wound_down(self, report: TargetReport, due: Due) -> bool:
-        """Begin to wind down, if need be; whether the load may begin."""
+        """Start winding down if needed; return whether the load may begin."""
         now_s = self.clock.seconds()
-        if self.winding_since_s is None:
-            self.winding_since_s = now_s
-            self.take_report(report)
+        if self.winding_down_since_s is None:
+            self.winding_down_since_s = now_s
+            self.publish_report(report)
         if due.is_overdue:
             return True
-        waited_s = now_s - self.winding_since_s
+        waited_s = now_s - self.winding_down_since_s
         return due.is_turn and rollout.has_wound_down(report, waited_s)
 
     async def load(
         self, report: TargetReport, model: str, version: int
     ) -> None:
-        """Order the target to load weights."""
+        """Order the target to load weights, and wait for the load to end."""
         target = self.target
         if target is None:
             return
@@ -282,7 +284,7 @@
         )
         await self.watch_load(model, version)
         self.log.info(
-            "target serves again",
+            "load watch ended",
             target=target.name,
             versions=dict(self.status.versions),
             is_loading=self.status.is_loading,
@@ -290,7 +292,7 @@
         )
 
     async def watch_load(self, model: str, version: int) -> None:
-        """Tell the routers without delay when a load has ended."""
+        """Poll the target closely until its load ends, and publish that."""
         ends_s = self.clock.seconds() + LOAD_WATCH_S
         while self.clock.seconds() < ends_s:
             await timing.sleep(self.clock, QUEUE_CHECK_S)
@@ -301,12 +303,12 @@
             is_loaded = report.versions.get(model, 0) >= version
             if is_loaded and not report.is_busy:
                 self.loading_until_s = -1.0
-            self.take_report(report)
+            self.publish_report(report)
             if not self.status.is_loading:
                 return
 
     async def drain_queue(self, report: TargetReport) -> TargetReport:
-        """Let the requests that wait at the target begin before an order.
+        """Announce a load and wait for the target's queue to empty.
 
         Returns:
           The target's last report.
@@ -321,7 +323,7 @@
             if answered.is_error():
                 break
             report = answered.ok
-            self.take_report(report)
+            self.publish_report(report)
             if report.waiting == 0:
                 break
             await timing.sleep(self.clock, QUEUE_CHECK_S)
@@ -331,18 +333,23 @@
     # Routers.
 
     def heard_from(self, router: str) -> None:
-        """Note that a router has asked."""
+        """Record that a router has polled this agent."""
         self.routers[router] = self.clock.seconds()
 
     def count_routers(self, now_s: float) -> int:
-        """Return the routers that asked lately."""
-        for name, heard_s in list(self.routers.items()):
-            if now_s - heard_s > ROUTER_HEARD_S:
+        """Return the number of active routers; forget the others."""
+        for name, polled_s in list(self.routers.items()):
+            if now_s - polled_s > ROUTER_ACTIVE_S:
                 del self.routers[name]
         return len(self.routers)
 
     async def newer(self, number: int, wait_s: float) -> TargetStatus:
-        """Return a status newer than a number, or the same after a wait."""
+        """Return the status, waiting for one newer than a number.
+
+        Args:
+          number: Number of the status that the router has.
+          wait_s: Maximum time to wait, in seconds.
+        """
         if self.status.number <= number:
             changed: Deferred[None] = Deferred()
             self.watchers.append(changed)
@@ -353,14 +360,14 @@
         return self.status
 
     def wake(self, watcher: Deferred[None]) -> None:
-        """Let one watcher go on without a change."""
+        """End one watcher's wait after its timeout."""
         if watcher in self.watchers:
             self.watchers.remove(watcher)
             watcher.callback(None)
 
 
 def differs(old: TargetStatus, new: TargetStatus) -> bool:
-    """Whether routers should hear of a new status at once."""
+    """Whether a new status differs enough to be published."""
     if abs(old.running - new.running) >= LOAD_STEP:
         return True
     if abs(old.reading - new.reading) >= READING_STEP:
--- a/sequoiawind/forwarder.py
+++ b/sequoiawind/forwarder.py
@@ -1,7 +1,8 @@
 """Forwarding of all requests of one router.
 
-Holds what the requests share: the fleet, the repeats, what targets have
-cached, which weights are newest, and the requests that wait for a target.
+Holds the state that the requests share: the fleet, the repeat window, the
+targets' caches, the named weights versions, and the requests that wait for a
+target.
 """
 
 import random
@@ -24,7 +25,7 @@
 from sequoiawind.rollout import NamedVersion
 from sequoiawind.stream_move import StreamMove
 from sequoiawind.target_choice import (
-    USUAL_TOKENS,
+    DEFAULT_PREFILL_TOKENS,
     Chosen,
     Keeper,
     PromptChooser,
@@ -34,27 +35,28 @@
 
 Logger = structlog.typing.FilteringBoundLogger
 
-# How often waiting requests look for a target unless something changes.
+# Interval at which waiting requests look for a target if no event makes them
+# look earlier, in seconds.
 WAITING_TICK_S: Final = 0.05
-# Part of the time allowed for new weights after which a request may no longer
-# begin on older ones; the rest is for its way to the target.
+# Share of the time allowed for new weights after which a request may no longer
+# begin on older ones; the rest is for its transfer to the target.
 OLD_WEIGHTS_SHARE: Final = 0.75
-# Part of the time in which a router that has started is not held to its bounds
-# for which it accepts older weights; the rest is for queues at the targets.
-LATE_SHARE: Final = 0.6
-# Longest answer of a run that a target still takes before it loads weights, in
-# tokens: engines make about as many in the time for which they wind down.
+# Share of the grace period after a router's start for which it accepts older
+# weights; the rest is for queues at the targets.
+SETTLE_SHARE: Final = 0.6
+# Longest answer of a run that a target still accepts while it winds down to
+# load weights, in tokens: engines generate about as many in that time.
 SHORT_RUN_TOKENS: Final = 64
-# Weight of a prompt in the average of what prompts have to read: about the last
-# 30 count.
-USUAL_WEIGHT: Final = 0.03
+# Weight of a prompt in the moving average of tokens to prefill: covers about
+# the last 30 prompts.
+PREFILL_AVERAGE_WEIGHT: Final = 0.03
 # Memory assumed for a target whose pool does not state it, in tokens.
 DEFAULT_MEMORY_TOKENS: Final = 50_000
 
 
 @attrs.define(kw_only=True, eq=False)
 class Forwarder:
-    """Decides about forwarded requests."""
+    """Starts forwarded requests and chooses their targets."""
 
     board: Blackboard
     fleet: Fleet
@@ -67,18 +69,18 @@
     domain: str
     # Time within which all targets must have newer weights, in seconds.
     weights_s: float
-    # Time for which a router that has started is not held to that.
+    # Grace period after a router's start, in which that bound does not hold.
     settle_s: float
     caches: CacheWatcher
     # Weights versions by model, in the order in which they were named.
     named: dict[str, list[NamedVersion]] = attrs.field(factory=dict)
-    # Tokens that a prompt has to read, on the average of the last ones.
-    usual_tokens: float = USUAL_TOKENS
+    # Moving average of the tokens that a prompt has to prefill.
+    average_prefill_tokens: float = DEFAULT_PREFILL_TOKENS
     waiting: list[Forwarding] = attrs.field(factory=list)
-    ticking: Timer | None = None
-    # Requests under way.
+    waiting_timer: Timer | None = None
+    # Requests that have not ended.
     open: set[Forwarding] = attrs.field(factory=set)
-    # Called with each move of a stream that was tried.
+    # Called with each attempted move of a stream.
     on_move: Callable[[StreamMove], None] = attrs.field(
         default=lambda move: None
     )
@@ -98,7 +100,7 @@
     def submit(
         self, request: ForwardRequest, caller: ForwardCaller
     ) -> Forwarding | None:
-        """Start a request; None if it was refused at once."""
+        """Start a request; return None if it was refused immediately."""
         planned = self.planner.plan(request)
         if planned.is_error():
             self.on_refusal(request, planned.error)
@@ -125,13 +127,13 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests under way."""
+        """Number of requests that have not ended."""
         return len(self.open)
 
     # Placement.
 
     def choose(self, forwarding: Forwarding) -> Chosen | None:
-        """Return a target for a request; None if none takes it now."""
+        """Return a target for a request; None if none is ready."""
         plan = forwarding.plan
         now_s = self.clock.seconds()
         prompt = plan.request.prompt
@@ -152,7 +154,7 @@
         )
 
     def chooser(self, plan: ForwardPlan, model: str) -> PromptChooser:
-        """Return what chooses targets for a prompt now."""
+        """Return a chooser with the current state of a plan's pool."""
         now_s = self.clock.seconds()
         caches = self.caches.caches
         return PromptChooser(
@@ -161,13 +163,17 @@
             pool=self.fleet.usable(plan.pool.name, now_s),
             now_s=now_s,
             newest_version=self.newest_version(model),
-            usual_tokens=self.usual_tokens,
+            average_prefill_tokens=self.average_prefill_tokens,
         )
 
-    def goal_of_move(
+    def move_destination(
         self, forwarding: Forwarding, chosen: Chosen
     ) -> Chosen | None:
-        """Return where a run may go on: a target with the same weights."""
+        """Return a target with the same weights to continue a run at.
+
+        Returns:
+          The ready target with the least backlog; None if there is none.
+        """
         plan, prompt = forwarding.plan, forwarding.plan.request.prompt
         if prompt is None or chosen.version is None:
             return None
@@ -180,9 +186,9 @@
         ]
         if not able:
             return None
-        ahead = self.chooser(plan, prompt.model).ahead
+        backlog = self.chooser(plan, prompt.model).backlog_tokens
         return Chosen(
-            view=min(able, key=lambda view: (ahead(view), view.target.name)),
+            view=min(able, key=lambda view: (backlog(view), view.target.name)),
             version=chosen.version,
             salt=chosen.salt,
         )
@@ -193,7 +199,7 @@
         return named[-1].version if named else 0
 
     def oldest_version(self, model: str, now_s: float) -> int:
-        """Return the weights version on which a request may still begin."""
+        """Return the oldest weights version that a new request may use."""
         due_s = now_s - self.weights_s * OLD_WEIGHTS_SHARE
         return max(
             (
@@ -205,7 +211,7 @@
         )
 
     def weights_named(self, model: str, version: int, is_late: bool) -> None:
-        """Note that an operator has named newer weights.
+        """Record that an operator has named newer weights.
 
         Args:
           model: The model.
@@ -215,29 +221,33 @@
         named_s = self.clock.seconds()
         if is_late:
             allowed_s = self.weights_s * OLD_WEIGHTS_SHARE
-            named_s -= max(0.0, allowed_s - self.settle_s * LATE_SHARE)
+            named_s -= max(0.0, allowed_s - self.settle_s * SETTLE_SHARE)
         rollout.add_version(
             self.named.setdefault(model, []),
             NamedVersion(version=version, named_s=named_s),
         )
 
     def sent(self, forwarding: Forwarding, chosen: Chosen) -> None:
-        """Note what a target reads with a request."""
+        """Account for a prompt that is sent to a target.
+
+        Updates the average prefill, the model of the target's cache, and the
+        request's note.
+        """
         prompt = forwarding.plan.request.prompt
         if prompt is None or chosen.version is None:
             return
-        self.usual_tokens += USUAL_WEIGHT * (
-            chosen.missing_tokens - self.usual_tokens
+        self.average_prefill_tokens += PREFILL_AVERAGE_WEIGHT * (
+            chosen.prefill_tokens - self.average_prefill_tokens
         )
         target = chosen.view.target
         memory = forwarding.plan.pool.memory_tokens or DEFAULT_MEMORY_TOKENS
         self.caches.watch(target.name, target.address, memory)
         self.caches.caches[target.name].held.sent(chosen.salt, prompt.parts)
         forwarding.note.prompt_tokens = prompt.tokens
-        forwarding.note.cached_tokens = prompt.tokens - chosen.missing_tokens
+        forwarding.note.cached_tokens = prompt.tokens - chosen.prefill_tokens
 
     def keeper(self) -> Keeper | None:
-        """Return the store of kept parts; None if there is none to use."""
+        """Return a reachable store of cached parts; None if there is none."""
         for pool in self.board.state.pools.values():
             if not isinstance(pool, ForwardPool) or not pool.keeper:
                 continue
@@ -249,17 +259,17 @@
         return None
 
     def has_targets(self, pool: str) -> bool:
-        """Whether a pool has a target that may become ready soon."""
+        """Whether a pool has a usable target, ready or not."""
         return bool(self.fleet.usable(pool, self.clock.seconds()))
 
     def incarnation_began(self, name: str) -> None:
-        """Forget what an earlier start of a target held."""
+        """Drop the cache state of a target's previous incarnation."""
         self.caches.forget(name)
 
     # Outcomes.
 
     def outcome(self, name: str, is_fault: bool) -> None:
-        """Count a complete answer of a target."""
+        """Record a complete answer in the health of its target."""
         if is_fault:
             self.fleet.members.of(name).note_outcome(True)
         else:
@@ -268,7 +278,7 @@
     def versions_seen(
         self, view: TargetView, versions: Mapping[str, int]
     ) -> None:
-        """Note the weights that an answer names."""
+        """Record the weights versions that an answer reports."""
         for model, version in versions.items():
             seen = view.seen_versions.get(model, 0)
             view.seen_versions[model] = max(seen, version)
@@ -276,7 +286,7 @@
     def attempt_failed(
         self, forwarding: Forwarding, view: TargetView, failure: Failure
     ) -> None:
-        """Note what a failed attempt says about its target."""
+        """Update a target's health after a failed attempt."""
         self.on_attempt_failed(forwarding, view, failure)
         now_s = self.clock.seconds()
         name = view.target.name
@@ -289,7 +299,11 @@
         self.fleet.failed(name, now_s, is_certain)
 
     def status_changed(self, name: str) -> None:
-        """Move streams off a target that is to load; serve who waits."""
+        """Handle a new status of a target.
+
+        Moves streams away from a target that is about to load weights, and
+        serves waiting requests.
+        """
         view = self.fleet.views.get(name)
         status = view.fresh_status(self.clock.seconds()) if view else None
         if status is not None and status.is_loading:
@@ -302,22 +316,22 @@
     # Waiting.
 
     def wait(self, forwarding: Forwarding) -> None:
-        """Let a request wait for a target."""
+        """Queue a request until a target is ready."""
         self.waiting.append(forwarding)
-        if self.ticking is None or not self.ticking.active():
-            self.ticking = self.clock.callLater(
+        if self.waiting_timer is None or not self.waiting_timer.active():
+            self.waiting_timer = self.clock.callLater(
                 WAITING_TICK_S, self.serve_waiting
             )
 
     def serve_waiting(self) -> None:
-        """Let waiting requests look again, the most urgent ones first."""
+        """Retry waiting requests, the most urgent ones first."""
         waiting, self.waiting = self.waiting, []
         waiting.sort(key=lambda item: (item.plan.priority, item.plan.ends_s))
         for forwarding in waiting:
             forwarding.next_target()
 
     def finished(self, forwarding: Forwarding, failure: Failure | None) -> None:
-        """Account for the end of a request."""
+        """Record the end of a request."""
         self.open.discard(forwarding)
         note = forwarding.note
         note.ended_s = self.clock.seconds()
--- a/sequoiawind/forwarding.py
+++ b/sequoiawind/forwarding.py
@@ -1,8 +1,9 @@
 """One forwarded request: from its plan to the end of its answer.
 
-A request goes to one target at a time.  What the target proves not to have run
-goes to another; what may have run does so only if its kind allows that.  A
-stream that breaks goes on at another target behind the last whole event.
+A request is sent to one target at a time.  If the target proves that it did
+not run the request, another target is tried; if the request may have run, only
+if its kind allows that.  A stream that breaks is resumed at another target
+after the last complete event.
 """
 
 from functools import partial
@@ -13,7 +14,7 @@
 from sequoiawind import messages, retries
 from sequoiawind.blackboard import RequestNote
 from sequoiawind.course import Course, OpenAttempt
-from sequoiawind.event_stream import EventCutter
+from sequoiawind.event_stream import EventSplitter
 from sequoiawind.fleet import TargetView
 from sequoiawind.forward_plan import ForwardPlan, urgency
 from sequoiawind.forward_ports import (
@@ -34,70 +35,70 @@
 if TYPE_CHECKING:
     from sequoiawind.forwarder import Forwarder
 
-# Silence after which a stream that may be resumed goes on elsewhere, as a
-# multiple of the route's longest pause, and at least so many seconds.
+# Silence after which a resumable stream is resumed at another target: a
+# multiple of the route's longest pause, and a minimum in seconds.
 PAUSE_FACTOR: Final = 3.0
 MIN_PAUSE_S: Final = 1.2
-# Silence before the first event or answer after which a request that may be
-# repeated is sent elsewhere: a multiple of the route's aim, and a share of
-# the time that is left, so that another target still has time to answer.
+# Silence before the first event or answer after which a repeatable request is
+# sent to another target: the larger of a multiple of the route's latency aim
+# and a share of the time left, so that the other target has time to answer.
 FIRST_AIM_FACTOR: Final = 3.0
 FIRST_LEFT_SHARE: Final = 0.4
-# Part of its time for which a request waits for a target that takes work.
+# Share of its time limit for which a request waits for a target to be ready.
 WAIT_SHARE: Final = 0.3
-# Least time to leave to a target, in seconds.
+# Minimum deadline sent to a target, in seconds.
 MIN_DEADLINE_S: Final = 0.005
-# When to come back after a refusal for want of a target, in seconds: about
-# the time in which a target sheds, loads or restarts.
+# Retry-after of a refusal because no target is available, in seconds: about
+# the time for which a target sheds load, loads weights or restarts.
 BUSY_RETRY_AFTER_S: Final = 0.4
 
 
 @attrs.define(kw_only=True, eq=False)
 class ForwardAttempt(OpenAttempt):
-    """One try at one target; the sink of its answer."""
+    """One attempt at one target; the sink of its answer."""
 
     forwarding: "Forwarding"
     chosen: Chosen
     answer: AnswerHead | None = None
     body: bytearray = attrs.field(factory=bytearray)
-    cutter: EventCutter = attrs.field(factory=EventCutter)
-    # Whether the target has read the prompt.
+    splitter: EventSplitter = attrs.field(factory=EventSplitter)
+    # Whether the prompt no longer counts as a pending prefill.
     has_begun: bool = False
-    # The move to another target that is under way; None if there is none.
+    # The pending move of the run to another target, if any.
     move: StreamMove | None = None
 
     @property
     def view(self) -> TargetView:
-        """The target's view."""
+        """This router's view of the target."""
         return self.chosen.view
 
     def head(self, head: AnswerHead) -> None:
-        """Take the answer's head."""
+        """Store the answer's head."""
         if not self.is_over:
             self.answer = head
 
     def data(self, data: bytes) -> None:
-        """Take a part of the body: streams go on at once."""
+        """Receive a part of the body; stream events are passed on directly."""
         if self.is_over or self.answer is None:
             return
         if not self.is_streaming:
             self.body += data
             return
         self.begin()
-        for event in self.cutter.take(data):
+        for event in self.splitter.take(data):
             self.forwarding.take_event(self, event.data, event.id)
 
     def done(self) -> None:
-        """Take the end of the answer."""
+        """Handle the end of the answer."""
         if self.close():
             self.forwarding.answered(self)
 
     def failed(self, failure: Failure) -> None:
-        """Take the answer's failure."""
+        """Handle the failure of the answer."""
         if not self.close():
             return
         if self.move is not None:
-            self.move.source_ended(failure)
+            self.move.stream_failed(failure)
         else:
             self.forwarding.attempt_failed(self, failure)
 
@@ -110,39 +111,39 @@
         return self.forwarding.plan.kind.is_stream and answer.status < 300
 
     def release(self) -> None:
-        """Count the attempt no more."""
+        """Remove the attempt from the target's counts."""
         self.view.open_requests -= 1
         self.begin()
 
     def begin(self) -> None:
-        """Note that the target need not read the prompt any more."""
+        """Remove the prompt from the target's pending prefills, once."""
         if self.has_begun:
             return
         self.has_begun = True
-        self.view.unread_requests -= 1
-        self.view.unread_tokens -= self.chosen.missing_tokens
+        self.view.pending_prefills -= 1
+        self.view.pending_prefill_tokens -= self.chosen.prefill_tokens
 
 
 @attrs.define(kw_only=True, eq=False)
 class Forwarding(Course):
-    """A request on its way."""
+    """A forwarded request that has not ended."""
 
     forwarder: "Forwarder"
     plan: ForwardPlan
     caller: ForwardCaller
     note: RequestNote
     current: ForwardAttempt | None = None
-    # Names of the targets that were sent the request.
+    # Names of the targets to which the request was sent.
     sent_to: list[str] = attrs.field(factory=list)
-    # Why the last attempt ended without an answer.
-    last: Failure | None = None
-    # Whether the caller has the head of an answer.
+    # Why the last attempt failed.
+    last_failure: Failure | None = None
+    # Whether an answer's head was sent to the caller.
     has_head: bool = False
     last_event: int | None = None
     waiting_since_s: float | None = None
 
     def start(self) -> None:
-        """Make the first attempt."""
+        """Start the deadline and make the first attempt."""
         left_s = self.left_s
         if left_s <= 0.0:
             self.give_up(not_run(Reason.DEADLINE, messages.DEADLINE))
@@ -157,7 +158,7 @@
 
     @property
     def left_s(self) -> float:
-        """Time left for an answer, in seconds."""
+        """Time left until the request's deadline, in seconds."""
         return self.plan.ends_s - self.now_s
 
     def next_target(self) -> None:
@@ -169,7 +170,8 @@
         kind = self.plan.kind
         if len(self.sent_to) >= max(1, kind.max_targets):
             self.give_up(
-                self.last or not_run(Reason.MAX_TARGETS, messages.MAX_SENDS)
+                self.last_failure
+                or not_run(Reason.MAX_TARGETS, messages.MAX_SENDS)
             )
             return
         chosen = self.forwarder.choose(self)
@@ -177,15 +179,20 @@
             self.wait()
             return
         self.waiting_since_s = None
-        if not self.may_send():
+        if not self.reserve_attempt():
             self.give_up(
-                self.last or not_run(Reason.RETRY_BUDGET, messages.RETRY_BUDGET)
+                self.last_failure
+                or not_run(Reason.RETRY_BUDGET, messages.RETRY_BUDGET)
             )
             return
         self.send(chosen)
 
     def replan(self) -> bool:
-        """Follow a configuration that has changed meanwhile."""
+        """Plan again if the configuration has changed or keys are not trusted.
+
+        Returns:
+          Whether the request has a valid plan; if not, it has been refused.
+        """
         is_current = self.plan.revision == self.forwarder.board.state.revision
         is_trusted = (
             not self.plan.account.name or self.forwarder.planner.trusts_keys
@@ -200,7 +207,7 @@
         return True
 
     def wait(self) -> None:
-        """Wait for a target, unless none can be ready in time."""
+        """Queue for a target, or give up if none can be ready in time."""
         now_s = self.now_s
         if self.waiting_since_s is None:
             self.waiting_since_s = now_s
@@ -209,7 +216,7 @@
         has_targets = self.forwarder.has_targets(self.plan.pool.name)
         if waited_s >= limit_s or not has_targets:
             self.give_up(
-                self.last
+                self.last_failure
                 or not_run(
                     Reason.NO_TARGET, messages.NO_TARGET, BUSY_RETRY_AFTER_S
                 )
@@ -217,26 +224,34 @@
             return
         self.forwarder.wait(self)
 
-    def may_send(self) -> bool:
-        """Count an attempt; whether the pool's repeats allow it."""
+    def reserve_attempt(self) -> bool:
+        """Count an attempt in the pool's repeat window.
+
+        Returns:
+          Whether the attempt is allowed; a first attempt always is.
+        """
         forwarder, pool = self.forwarder, self.plan.pool.name
         now_s = self.now_s
         if not self.sent_to:
-            forwarder.window.first(pool, now_s)
+            forwarder.window.count_first(pool, now_s)
             return True
         routers = forwarder.fleet.routers(now_s)
-        return forwarder.window.repeat(pool, now_s, routers)
+        return forwarder.window.try_repeat(pool, now_s, routers)
 
     def send(self, chosen: Chosen) -> None:
         """Send the request to a target."""
         if self.sent_to:
-            reason = self.last.reason if self.last else Reason.TARGET_LOST
+            reason = (
+                self.last_failure.reason
+                if self.last_failure
+                else Reason.TARGET_LOST
+            )
             self.forwarder.on_retry(reason)
         self.forwarder.sent(self, chosen)
         self.open_attempt(chosen)
 
     def open_attempt(self, chosen: Chosen, moved_from: str = "") -> None:
-        """Begin an attempt, or go on with a run that was moved."""
+        """Start an attempt, or continue a run that was moved."""
         target = chosen.view.target
         self.sent_to.append(target.name)
         self.note.path.append(target.name)
@@ -245,8 +260,8 @@
         )
         self.current = attempt
         chosen.view.open_requests += 1
-        chosen.view.unread_requests += 1
-        chosen.view.unread_tokens += chosen.missing_tokens
+        chosen.view.pending_prefills += 1
+        chosen.view.pending_prefill_tokens += chosen.prefill_tokens
         order = SendOrder(
             request=self.plan.request,
             target=target,
@@ -260,13 +275,13 @@
             after_event=self.last_event,
             moved_from=moved_from,
         )
-        self.watch_first(attempt)
+        self.set_first_timeout(attempt)
         attempt.call = self.forwarder.port.send(order, attempt)
 
     # Moves.
 
     def move_away(self) -> None:
-        """Move the run off its target, if it may be resumed and has begun."""
+        """Move the run to another target, if it may be repeated and began."""
         attempt = self.current
         if attempt is None or attempt.is_over or attempt.move is not None:
             return
@@ -274,38 +289,38 @@
             return
         if not attempt.is_streaming or self.last_event is None:
             return
-        goal = self.forwarder.goal_of_move(self, attempt.chosen)
+        goal = self.forwarder.move_destination(self, attempt.chosen)
         if goal is not None:
             StreamMove(forwarding=self, attempt=attempt, goal=goal).start()
 
     def go_on_at(self, goal: Chosen, moved_from: str) -> None:
-        """Go on with the run at the target that has its memory now."""
-        # It is the same run, so it takes the place of the one before.
+        """Continue the run at the target that now has its memory."""
+        # It is the same run, so it replaces the previous attempt.
         self.sent_to.pop()
         self.open_attempt(goal, moved_from)
 
     # Silence.
 
-    def watch_first(self, attempt: ForwardAttempt) -> None:
-        """Send elsewhere what has no answer for long, if it may repeat."""
-        if not self.may_go_on():
+    def set_first_timeout(self, attempt: ForwardAttempt) -> None:
+        """Start the timeout for the first event or answer, if repeatable."""
+        if not self.may_send_elsewhere():
             return
         kind = self.plan.kind
         silence_s = max(
             FIRST_AIM_FACTOR * kind.aim_s, FIRST_LEFT_SHARE * self.left_s
         )
-        attempt.watch(silence_s, partial(self.was_silent, attempt))
+        attempt.watch(silence_s, partial(self.handle_silence, attempt))
 
-    def watch_pause(self, attempt: ForwardAttempt) -> None:
-        """Go on elsewhere with a stream that has stopped."""
-        if not self.may_go_on():
+    def set_pause_timeout(self, attempt: ForwardAttempt) -> None:
+        """Start the timeout for the stream's next event, if repeatable."""
+        if not self.may_send_elsewhere():
             return
         pause_s = max(MIN_PAUSE_S, PAUSE_FACTOR * self.plan.kind.pause_s)
-        attempt.watch(pause_s, partial(self.was_silent, attempt))
+        attempt.watch(pause_s, partial(self.handle_silence, attempt))
 
-    def was_silent(self, attempt: ForwardAttempt) -> None:
-        """Give up on a target that was silent for too long."""
-        if attempt.is_over or not self.may_go_on():
+    def handle_silence(self, attempt: ForwardAttempt) -> None:
+        """Cancel an attempt that has timed out, and try another target."""
+        if attempt.is_over or not self.may_send_elsewhere():
             return
         attempt.cancel()
         self.attempt_failed(
@@ -313,7 +328,7 @@
             may_have_run(Reason.CHUNK_TIMEOUT, messages.CHUNK_TIMEOUT),
         )
 
-    def may_go_on(self) -> bool:
+    def may_send_elsewhere(self) -> bool:
         """Whether the request may still be sent to another target."""
         kind = self.plan.kind
         return kind.may_repeat and len(self.sent_to) < kind.max_targets
@@ -323,11 +338,11 @@
     def take_event(
         self, attempt: ForwardAttempt, data: bytes, event: int | None
     ) -> None:
-        """Pass a whole event on, once."""
+        """Send a complete event to the caller, unless it has it already."""
         if self.is_finished or attempt.answer is None:
             return
         if attempt.move is None:
-            self.watch_pause(attempt)
+            self.set_pause_timeout(attempt)
         if event is not None:
             if self.last_event is not None and event <= self.last_event:
                 self.note.repeated_chunks += 1
@@ -339,13 +354,13 @@
         self.caller.send_data(data)
 
     def pass_head(self, head: AnswerHead) -> None:
-        """Pass the head of the first answer on, once."""
+        """Send the answer's head to the caller, unless one was sent."""
         if not self.has_head:
             self.has_head = True
             self.caller.send_head(head.status, head.headers)
 
     def answered(self, attempt: ForwardAttempt) -> None:
-        """Take a complete answer, whatever it says."""
+        """Handle a complete answer: a success, an error or a refusal."""
         answer = attempt.answer
         if answer is None or self.is_finished:
             return
@@ -358,11 +373,11 @@
         self.forwarder.outcome(name, is_fault)
         if attempt.is_streaming:
             self.pass_head(answer)
-            self.caller.send_data(attempt.cutter.rest)
+            self.caller.send_data(attempt.splitter.rest)
             self.caller.send_end()
             self.finish(None)
             return
-        if is_fault and self.may_go_on() and not self.has_head:
+        if is_fault and self.may_send_elsewhere() and not self.has_head:
             self.is_tainted = True
             if self.repeat_elsewhere(attempt, answer):
                 return
@@ -371,23 +386,25 @@
     def repeat_elsewhere(
         self, attempt: ForwardAttempt, answer: AnswerHead
     ) -> bool:
-        """Try another target after a failure that the target itself told.
+        """Try another target after an error status from a target.
 
         Returns:
-          Whether the request is on its way to another target; if not, the
-          caller gets the failure as it is.
+          Whether the request was sent to another target; if not, the caller
+          gets the error answer unchanged.
         """
         chosen = self.forwarder.choose(self)
-        if chosen is None or not self.may_send():
+        if chosen is None or not self.reserve_attempt():
             return False
-        self.last = may_have_run(Reason.TARGET_ERROR, f"status {answer.status}")
+        self.last_failure = may_have_run(
+            Reason.TARGET_ERROR, f"status {answer.status}"
+        )
         self.send(chosen)
         return True
 
     def reply(self, answer: AnswerHead, body: bytes) -> None:
-        """Give the caller a target's whole answer."""
+        """Send a target's whole answer to the caller."""
         if self.has_head:
-            # A resumed stream was answered with something else.
+            # The answer to a resumed stream is not a stream.
             self.caller.break_off()
             self.finish(may_have_run(Reason.TARGET_ERROR))
             return
@@ -397,24 +414,24 @@
         self.finish(None)
 
     def attempt_failed(self, attempt: ForwardAttempt, failure: Failure) -> None:
-        """Decide what follows an attempt without an answer."""
+        """Retry a failed attempt at another target, or give up."""
         if self.is_finished:
             return
-        self.last = failure
+        self.last_failure = failure
         self.forwarder.attempt_failed(self, attempt.view, failure)
         self.note_verdict(failure)
         if not retries.may_retry(failure, self.plan.kind.may_repeat):
             self.give_up(failure)
             return
         if failure.reason is Reason.CONNECT_FAILED:
-            # Nothing was sent there.
+            # Nothing was sent, so the target does not count as tried.
             self.sent_to.remove(attempt.view.target.name)
         self.next_target()
 
     # Ends.
 
     def give_up(self, failure: Failure) -> None:
-        """End with a failure whose verdict covers all attempts."""
+        """End the request with the verdict over all attempts."""
         if self.is_finished:
             return
         failure = self.covering(failure)
@@ -427,9 +444,10 @@
         self.finish(failure)
 
     def caller_gone(self) -> None:
-        """Stop work for a caller that has gone.
+        """End the request after its caller has disconnected.
 
-        An action that must not repeat goes on: half of it helps nobody.
+        A call that may not be repeated and does not stream is left running at
+        its target, because an action stopped halfway is of no use.
         """
         if self.is_finished:
             return
@@ -440,6 +458,6 @@
         self.finish(may_have_run(Reason.CANCELLED, messages.CANCELLED))
 
     def finish(self, failure: Failure | None) -> None:
-        """End the request."""
+        """Close the request and report its end to the forwarder."""
         self.close()
         self.forwarder.finished(self, failure)
--- a/sequoiawind/rollout.py
+++ b/sequoiawind/rollout.py
@@ -1,15 +1,17 @@
 """When an agent orders its target to load newly named weights.
 
-Answers the pattern in which all targets of a pool reload at once: while one
-loads it takes no work, and loads are slow when many run.  The targets take
-turns in an order that every agent works out alone: one begins when the one a
-few places before it is done, whose agent it asks.  Versions that are superseded
-meanwhile are skipped.
-A target that loads first ends its runs, and takes no work meanwhile.  So it
-winds down before: for a while it takes short runs only.
-Only the agent beside a target gives it orders, so there is one holder, and its
-fencing number need not grow; the number of orders that the target has accepted
-keeps a late order from undoing a newer one.
+Prevents all targets of a pool from loading at the same time: a target takes no
+work while it loads, and loads are slow when many run.  The targets take turns
+in an order that every agent computes on its own: a target begins when the one
+a few places before it has loaded, which its agent finds out by polling that
+target's agent.  Versions that are superseded meanwhile are skipped.
+
+A target has to end its runs before it loads, and takes no work meanwhile.  So
+it winds down first: for a while it takes short runs only.
+
+Only the agent beside a target orders it to load, so there is one holder, and
+its fencing number need not grow.  An order names the number of orders that the
+target must have accepted, so a late order cannot undo a newer one.
 """
 
 import enum
@@ -22,39 +24,41 @@
 
 from sequoiawind.verdict import Failure
 
-# The agent's VM is its target's own, so no other process ever orders there.
+# Constant, as an agent shares the VM of its target and is the only process
+# that sends it orders.
 FENCING: Final = 1
-# Targets of a pool that load at once, at least.
+# Minimum number of a pool's targets that load concurrently.
 MIN_LOADS_AT_ONCE: Final = 2
-# Time from one target's turn to the next's, in seconds: its queue and runs end,
-# then it loads.
+# Time from one target's turn to the next's, in seconds: for its queue and runs
+# to end and its weights to load.
 TURN_S: Final = 1.5
-# Part of the time allowed for new weights after which a target loads although
+# Share of the time allowed for new weights after which a target loads even if
 # it is not its turn; the rest is for its queue, its runs and the load.
-LAST_TURN_SHARE: Final = 0.6
-# For how long a target takes short runs only before it loads, in seconds: until
-# its long runs have ended, but no longer, as those that are left can move.
+OVERDUE_SHARE: Final = 0.6
+# Minimum and maximum time for which a target takes only short runs before it
+# loads, in seconds.  Within these it waits for its long runs to end, but no
+# longer, as the remaining ones can be moved.
 WIND_DOWN_S: Final = 0.5
 WIND_DOWN_CAP_S: Final = 0.6
-# Events that a run has made when it counts as long: engines make about as many
-# in `WIND_DOWN_S`.
+# Events after which a run counts as long: engines generate about as many in
+# `WIND_DOWN_S`.
 LONG_RUN_EVENTS: Final = 24
-# Named versions of a model that are kept.
+# Maximum number of named versions kept for each model.
 MAX_NAMED: Final = 16
 
 
 @attrs.frozen(kw_only=True)
 class TargetReport:
-    """A target's report on itself."""
+    """A target's report on its weights and load."""
 
     versions: Mapping[str, int]
-    # An order is being carried out.
+    # The target is executing an order.
     is_busy: bool
-    # Orders that it has accepted since its start.
+    # Orders accepted since the target's start.
     orders: int
     waiting: int
     running: int
-    # Events made so far by each run that has read its prompt; None if unknown.
+    # Events so far of each run past its prefill; None if unknown.
     runs: tuple[int, ...] | None
     used_tokens: int
     is_draining: bool
@@ -62,14 +66,14 @@
 
     @property
     def reading(self) -> int:
-        """Requests whose prompts are being read; 0 if unknown."""
+        """Number of requests in prefill; 0 if unknown."""
         if self.runs is None:
             return 0
         return max(0, self.running - len(self.runs))
 
     @property
     def has_long_runs(self) -> bool:
-        """Whether some run has gone on for long; unknown ones have."""
+        """Whether some run counts as long; if unknown, whether any runs."""
         if self.runs is None:
             return self.running > 0
         return any(made >= LONG_RUN_EVENTS for made in self.runs)
@@ -83,7 +87,7 @@
     version: int
     holder: str
     fencing: int
-    # The target refuses unless it has accepted so many orders.
+    # The target refuses unless it has accepted exactly so many orders.
     after_orders: int
 
 
@@ -96,12 +100,12 @@
 
 
 class TargetPort(Protocol):
-    """What an agent asks of its target."""
+    """Interface through which an agent queries and orders its target."""
 
     async def report(
         self, address: str, timeout_s: float
     ) -> Result[TargetReport, Failure]:
-        """Return a target's report on itself."""
+        """Return a target's report."""
 
     async def order(
         self, address: str, target: str, order: LoadOrder, timeout_s: float
@@ -118,9 +122,9 @@
 
 
 class Progress(enum.Enum):
-    """How far another target has come with new weights."""
+    """How far another target is with new weights."""
 
-    # It will not load soon: nobody waits for it.
+    # Unavailable: it will not load soon, so the others do not wait for it.
     ABSENT = "absent"
     WAITING = "waiting"
     LOADING = "loading"
@@ -132,9 +136,9 @@
     """A version that a target has to load, and how soon."""
 
     version: int
-    # It may load now; if not, it is the next after one that is loading.
+    # The target may load now; if not, it only winds down.
     is_turn: bool = True
-    # There is no time to wind down.
+    # The target must load without winding down.
     is_overdue: bool = False
 
 
@@ -142,13 +146,13 @@
 class Turn:
     """A target's place in the order in which a pool loads weights."""
 
-    # The targets before it in its file, the nearest first: it begins when the
-    # nearest one that works has loaded.  Empty for the first ones.
-    behind: tuple[str, ...]
+    # Targets that load one after another before it, the nearest first: it
+    # begins when the nearest available one has loaded.  Empty for the first.
+    predecessors: tuple[str, ...]
 
 
 def turn(name: str, pool: Sequence[str], allowed_s: float) -> Turn:
-    """Return a target's turn; every agent works out the same order.
+    """Return a target's turn; every agent computes the same order.
 
     Args:
       name: The target.
@@ -161,22 +165,23 @@
     at_once = loads_at_once(len(ordered), allowed_s)
     rank = ordered.index(name)
     before = range(rank - at_once, -1, -at_once)
-    return Turn(behind=tuple(ordered[place] for place in before))
+    return Turn(predecessors=tuple(ordered[place] for place in before))
 
 
 def loads_at_once(targets: int, allowed_s: float) -> int:
-    """Return how many targets of a pool load at once.
+    """Return how many targets of a pool load concurrently.
 
-    As few as keep the time allowed, so that most of the pool serves.
+    As few as the time allowed permits, so that most of the pool serves.
     """
-    needed = targets * TURN_S / (LAST_TURN_SHARE * allowed_s)
+    needed = targets * TURN_S / (OVERDUE_SHARE * allowed_s)
     return max(MIN_LOADS_AT_ONCE, round(needed))
 
 
 def add_version(named: list[NamedVersion], item: NamedVersion) -> None:
-    """Note a version if it is newer than those named before.
+    """Append a version if it is newer than those named before.
 
-    Each version keeps its own time: a newer one does not prolong it.
+    Each version keeps its own time: a newer one does not extend the time
+    allowed for an older one.
     """
     if not named or item.version > named[-1].version:
         named.append(item)
@@ -184,13 +189,14 @@
 
 
 def stage(ahead: Sequence[Progress]) -> bool | None:
-    """Return whether it is a target's turn; None if it need not prepare.
+    """Return whether it is a target's turn; None if it need not wind down.
 
-    A target prepares once the second before it has loaded, so that it is ready
-    when its turn comes, and most of the pool still takes long runs.
+    A target winds down once the second one before it has loaded or the nearest
+    one is loading, so that it is ready when its turn comes and most of the
+    pool still takes long runs.
 
     Args:
-      ahead: How far those before it are, the nearest first.
+      ahead: Progress of the targets before it, the nearest first.
     """
     present = [item for item in ahead if item is not Progress.ABSENT]
     if not present or present[0] is Progress.LOADED:
@@ -200,7 +206,7 @@
 
 
 def has_wound_down(report: TargetReport, waited_s: float) -> bool:
-    """Whether a target that takes short runs only may load."""
+    """Whether a target that winds down may load now."""
     if report.running == 0 or waited_s >= WIND_DOWN_CAP_S:
         return True
     return waited_s >= WIND_DOWN_S and not report.has_long_runs
@@ -218,5 +224,11 @@
 def is_overdue(
     lacked: Sequence[NamedVersion], allowed_s: float, now_s: float
 ) -> bool:
-    """Whether a target must load without waiting for its turn."""
-    return now_s >= lacked[0].named_s + LAST_TURN_SHARE * allowed_s
+    """Whether a target must load without waiting for its turn.
+
+    Args:
+      lacked: The named versions that it lacks, the oldest first.
+      allowed_s: Time within which all targets must have new weights.
+      now_s: The time, in seconds of the clock.
+    """
+    return now_s >= lacked[0].named_s + OVERDUE_SHARE * allowed_s
--- a/sequoiawind/stream_move.py
+++ b/sequoiawind/stream_move.py
@@ -1,9 +1,9 @@
-"""Moving a stream to another target in the midst of its answer.
+"""Moving a running stream to another target.
 
-Answers the pattern of a target that has to end its runs before it loads
-weights: a few long answers hold it up for seconds.  Their memory is copied to a
-target with the same weights, where they go on behind the last event.  If that
-fails, the stream goes on where it is, or is resumed like one that broke.
+A target has to end its runs before it loads weights, and a few long answers
+can delay that for seconds.  The memory of such a run is copied to a target with
+the same weights, which continues the stream after the last event.  If the move
+fails, the stream continues where it is, or is resumed like a broken one.
 """
 
 from typing import TYPE_CHECKING, Final
@@ -19,38 +19,39 @@
 if TYPE_CHECKING:
     from sequoiawind.forwarding import ForwardAttempt, Forwarding
 
-# Time for the copy, in seconds: the memory of one run takes milliseconds, and
-# links are shared with the copies of other runs.
+# Timeout of the copy, in seconds: the memory of one run takes milliseconds,
+# but copies of other runs share the links.
 MOVE_TIMEOUT_S: Final = 0.4
-# Time for the last events of a run that was stopped, in seconds: two round
+# Time to wait for the last events of a stopped run, in seconds: two round
 # trips inside a region.
 LAST_EVENTS_S: Final = 0.05
 
 
 @attrs.define(kw_only=True, eq=False)
 class StreamMove:
-    """One run on its way to another target."""
+    """The move of one run to another target."""
 
     forwarding: "Forwarding"
-    # The attempt at the target that the run leaves.
+    # The attempt at the target that the run is moved from.
     attempt: "ForwardAttempt"
     goal: Chosen
-    # Whether it is known if the run was stopped, and where its memory is then.
+    # Whether the move request has been answered, and where the run's memory
+    # is; empty if the run was not moved.
     is_answered: bool = False
     moved_from: str = ""
-    # Why the copy failed; why the stream ended meanwhile.
+    # Why the copy failed, and why the stream failed during the move.
     failure: Failure | None = None
     source_failure: Failure | None = None
     timer: Timer | None = None
 
     def start(self) -> None:
-        """Ask the target to stop the run and to copy its memory."""
+        """Suspend the attempt's timeout and request the move."""
         self.attempt.stop_timer()
         self.attempt.move = self
-        Deferred.fromCoroutine(self.ask())
+        Deferred.fromCoroutine(self.request_move())
 
-    async def ask(self) -> None:
-        """Ask the target, and go on with its answer."""
+    async def request_move(self) -> None:
+        """Ask the target to stop the run and copy its memory."""
         order = MoveOrder(
             request_id=self.forwarding.plan.request.request_id,
             source=self.attempt.view.target,
@@ -63,15 +64,15 @@
             self.moved_from = answered.ok
         else:
             self.failure = answered.error
-        self.settle()
+        self.proceed()
 
-    def source_ended(self, failure: Failure) -> None:
-        """Note that the stream has ended before its end."""
+    def stream_failed(self, failure: Failure) -> None:
+        """Record that the stream failed before it was complete."""
         self.source_failure = failure
-        self.settle()
+        self.proceed()
 
-    def settle(self) -> None:
-        """Go on once it is known what became of the run and of its stream."""
+    def proceed(self) -> None:
+        """Complete or abandon the move once the target has answered."""
         if not self.is_answered:
             return
         if self.forwarding.is_finished:
@@ -86,13 +87,16 @@
         if self.source_failure is not None:
             self.forwarding.attempt_failed(self.attempt, self.source_failure)
         else:
-            self.forwarding.watch_pause(self.attempt)
+            self.forwarding.set_pause_timeout(self.attempt)
 
     def settle_moved(self) -> None:
-        """Go on at the other target, behind the last event from this one."""
+        """Continue at the other target after this one's last event.
+
+        Waits up to `LAST_EVENTS_S` for the stream at this target to end.
+        """
         if not self.attempt.is_over:
             clock = self.forwarding.clock
-            self.timer = clock.callLater(LAST_EVENTS_S, self.cut)
+            self.timer = clock.callLater(LAST_EVENTS_S, self.stop_waiting)
             return
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
@@ -100,7 +104,7 @@
         self.forwarding.forwarder.on_move(self)
         self.forwarding.go_on_at(self.goal, self.moved_from)
 
-    def cut(self) -> None:
-        """Wait no longer for the last events; the goal makes them again."""
+    def stop_waiting(self) -> None:
+        """Stop waiting for the last events; the goal generates them again."""
         self.attempt.cancel()
-        self.settle()
+        self.proceed()
--- a/sequoiawind/target_choice.py
+++ b/sequoiawind/target_choice.py
@@ -1,11 +1,15 @@
-"""Where a forwarded request goes: a pure function of what the router knows.
-
-Answers three patterns of load.  Prompts that share long beginnings: they go to
-a home by rendezvous order over the deepest shared part, so that all routers
-agree without messages, and fetch from the home when they go elsewhere.  A home
-that is busy: the cost of waiting there is weighed against recomputing or
-fetching at the next.  Weights that change: a target that loads or has older
-weights than the request may run on is left out.
+"""Choosing the target of a forwarded request.
+
+The choice is a pure function of the router's state.  It handles three patterns
+of load:
+
+- Prompts with long shared prefixes.  They go to a home target, found by
+  rendezvous hashing of the deepest shared part, so that all routers agree
+  without exchanging messages; elsewhere they fetch cached parts from the home.
+- A busy home.  The cost of waiting there is compared with that of recomputing
+  or fetching the parts at another target.
+- Changing weights.  A target whose weights are older than the request may run
+  on is left out, and one that loads weights is not among the ready ones.
 """
 
 from collections.abc import Mapping, Sequence
@@ -23,65 +27,67 @@
     covered_parts,
 )
 
-# Cost of a running request ahead, in prompt tokens that could be read in the
-# time of its share of the batch's steps.
+# Cost of a request that is already running, in prompt tokens that could be
+# prefilled in the time of its share of the batch's steps.
 RUNNING_TOKENS: Final = 120
-# Tokens that a prompt of another router has to read, until this router has
-# sent prompts of its own: a prompt of common size.
-USUAL_TOKENS: Final = 2_000
-# Cost of fetching a token from another target or from the keeper, relative to
-# reading it: the links of targets are an order of magnitude faster.
+# Tokens assumed to be prefilled for a prompt of another router, until this
+# router has sent prompts of its own: a prompt of common size.
+DEFAULT_PREFILL_TOKENS: Final = 2_000
+# Cost of fetching a cached token from another target or from the pool's cache
+# store (the keeper), relative to prefilling it: the links between targets are
+# an order of magnitude faster.
 FETCH_COST: Final = 0.1
 KEEPER_FETCH_COST: Final = 0.4
-# Homes of a prompt's shared part, which are weighed before the rest.
-HOMES: Final = 2
+# Home targets of a prompt's shared part, preferred to the other targets.
+HOME_COUNT: Final = 2
 # Cost added to a prompt's second home, in prompt tokens, so that routers that
-# know as little as each other agree on the first.
+# know equally little of the targets agree on the first home.
 SECOND_HOME_TOKENS: Final = 600
 # Cost added to targets that are not homes, in prompt tokens: they lack the
-# shared parts, and their own prompts are displaced.
-STRANGER_TOKENS: Final = 1_500
-# Cost added to targets that will load newer weights, in prompt tokens: what
-# they read is soon lost, and what they have to read holds up the load.
+# shared parts, and caching these evicts parts of their own prompts.
+NON_HOME_TOKENS: Final = 1_500
+# Cost added to targets that will load newer weights, in prompt tokens: their
+# cached parts are soon lost, and their pending prefills delay the load.
 OLD_WEIGHTS_TOKENS: Final = 6_000
-# Cost added to targets whose agent has fallen silent: their VM may be lost.
+# Cost added to targets whose agent has stopped reporting, in prompt tokens:
+# their VM may be lost.
 SILENT_AGENT_TOKENS: Final = 10_000
-# Cost of a call at a plain service whose recent calls have all failed, in
-# calls under way.
+# Cost of a call to a plain service whose recent calls have all failed, in open
+# requests per slot.
 FAILING_COST: Final = 8.0
 
 
 @attrs.frozen(kw_only=True)
 class Chosen:
-    """A target for a request, and what to tell it."""
+    """The target chosen for a request, and the parameters to send with it."""
 
     view: TargetView
     # Weights version that the target must have; None for plain services.
     version: int | None = None
     salt: str = ""
-    # Prompt tokens that the target is believed to lack.
-    missing_tokens: int = 0
-    # Address of a target or keeper to fetch cached parts from, and of the
-    # keeper that should get what is read; empty for none.
+    # Estimated prompt tokens to prefill; fetched ones count at a discount.
+    prefill_tokens: int = 0
+    # Address of the target or keeper to fetch cached parts from, and of the
+    # keeper that should store the prefilled parts; empty for none.
     source: str = ""
     keeper: str = ""
 
 
 @attrs.frozen(kw_only=True)
 class Source:
-    """Where a target may fetch the beginning of a prompt."""
+    """Where a target may fetch a prompt's cached prefix."""
 
     address: str = ""
-    # Parts that the target has then, its own ones included.
+    # Parts that the target has after the fetch, its own included.
     parts: int = 0
-    # Tokens beyond those that the target holds itself.
+    # Tokens to fetch.
     tokens: int = 0
     fetch_cost: float = FETCH_COST
 
 
 @attrs.frozen(kw_only=True)
 class Keeper:
-    """A store of kept parts."""
+    """A store of cached prompt parts that a pool's targets share."""
 
     address: str
     held: HeldParts
@@ -91,17 +97,17 @@
 class PromptChooser:
     """Chooses targets for prompts."""
 
-    # What each target holds, by its name.
+    # Cached parts of each target, by target name.
     held: Mapping[str, HeldParts]
-    # The pool's store of kept parts; None if there is none that answers.
+    # The store of cached parts; None if there is none that answers.
     keeper: Keeper | None = None
-    # Targets of the pool, also those that take no work now.
+    # Targets of the pool, including those that take no work now.
     pool: Sequence[TargetView]
     now_s: float
     # The newest weights version that was named; 0 if none was.
     newest_version: int = 0
-    # Tokens that a prompt has to read, on the average of this router's.
-    usual_tokens: float = USUAL_TOKENS
+    # Average of the tokens to prefill for a prompt of this router.
+    average_prefill_tokens: float = DEFAULT_PREFILL_TOKENS
 
     def choose(
         self,
@@ -114,11 +120,11 @@
         """Return the cheapest target; None if none may take the prompt.
 
         Args:
-          ready: The targets that would take work.
+          ready: The targets that take work.
           prompt: The prompt.
           account: Name of its client account.
           is_isolated: Whether the account shares no cached parts.
-          oldest_version: Weights on which the request may still begin.
+          oldest_version: Oldest weights version that the request may use.
         """
         able = [
             view
@@ -135,7 +141,7 @@
         return min(options, key=lambda option: self.cost(option, homes))
 
     def homes(self, prompt: Prompt) -> list[str]:
-        """Return the names of a prompt's homes, first the one to prefer."""
+        """Return the names of a prompt's home targets, preferred one first."""
         key = prompt.placement_key.encode()
         scored = sorted(
             self.pool,
@@ -145,7 +151,7 @@
             ),
             reverse=True,
         )
-        return [view.target.name for view in scored[:HOMES]]
+        return [view.target.name for view in scored[:HOME_COUNT]]
 
     def option(
         self,
@@ -155,7 +161,7 @@
         is_isolated: bool,
         homes: Sequence[str],
     ) -> Chosen:
-        """Return what sending a prompt to one target would mean."""
+        """Return how a prompt would be sent to a given target."""
         version = view.version(prompt.model)
         salt = cache_salt(account, prompt.model, version, is_isolated)
         held = self.held_tokens(view.target.name, salt, prompt)
@@ -165,13 +171,16 @@
             view=view,
             version=version,
             salt=salt,
-            missing_tokens=max(0, prompt.tokens - held - gained),
+            prefill_tokens=max(0, prompt.tokens - held - gained),
             source=source.address,
             keeper=self.keeper_address(salt, prompt, source),
         )
 
     def keeper_address(self, salt: str, prompt: Prompt, source: Source) -> str:
-        """Return the keeper if it lacks a shared part that will be read."""
+        """Return the keeper's address if it lacks a part to be prefilled.
+
+        The prompt's last part is not shared and does not count.
+        """
         keeper = self.keeper
         if keeper is None:
             return ""
@@ -181,7 +190,7 @@
         return keeper.address
 
     def held_tokens(self, name: str, salt: str, prompt: Prompt) -> int:
-        """Return the tokens of a prompt that a target holds."""
+        """Return how many tokens of a prompt's prefix a target holds."""
         held = self.held.get(name)
         return held.held_tokens(salt, prompt.parts) if held else 0
 
@@ -192,7 +201,7 @@
         prompt: Prompt,
         homes: Sequence[str],
     ) -> Source:
-        """Return where a target should fetch what it lacks of a prompt.
+        """Return where a target should fetch cached parts that it lacks.
 
         A source need not hold the parts that the target holds itself.
         """
@@ -200,7 +209,7 @@
         parts = prompt.parts
         has = covered_parts(salt, parts, [own])
         best = Source(parts=has)
-        # Between failure domains a move takes twice as long.
+        # A transfer between failure domains takes twice as long.
         near_first = sorted(
             self.pool,
             key=lambda other: other.target.domain != view.target.domain,
@@ -226,38 +235,39 @@
             return attrs.evolve(best, tokens=tokens)
         if has:
             return best
-        # Another router may have sent the prompt's beginning to its home.
+        # Another router may have sent the prompt's prefix to its home.
         for other in self.pool:
             if other is not view and other.target.name in homes:
                 return Source(address=other.target.address)
         return best
 
     def cost(self, option: Chosen, homes: Sequence[str]) -> float:
-        """Return what a target costs, in prompt tokens to read."""
+        """Return an option's cost, in prompt tokens to prefill."""
         view = option.view
-        cost = float(option.missing_tokens) + self.ahead(view)
+        cost = float(option.prefill_tokens) + self.backlog_tokens(view)
         if option.version is not None and option.version < self.newest_version:
             cost += OLD_WEIGHTS_TOKENS
         if view.is_agent_silent(self.now_s):
             cost += SILENT_AGENT_TOKENS
         if view.target.name not in homes:
-            return cost + STRANGER_TOKENS
+            return cost + NON_HOME_TOKENS
         return cost + SECOND_HOME_TOKENS * homes.index(view.target.name)
 
-    def ahead(self, view: TargetView) -> float:
-        """Return the work ahead at a target, in prompt tokens to read.
+    def backlog_tokens(self, view: TargetView) -> float:
+        """Return a target's pending work, in prompt tokens to prefill.
 
-        This router knows what its own prompts have to read; those that the
-        target reports beyond them are other routers', of the usual size.
+        The prefills of this router's own prompts are known.  Further prompts
+        that the target reports come from other routers and are assumed to
+        need the average prefill.
         """
-        running, unread = view.open_requests, 0
+        running, others = view.open_requests, 0
         status = view.fresh_status(self.now_s)
         if status is not None:
             running = max(running, status.running)
-            unread = status.reading + status.waiting - view.unread_requests
+            others = status.reading + status.waiting - view.pending_prefills
         return (
-            view.unread_tokens
-            + max(0, unread) * self.usual_tokens
+            view.pending_prefill_tokens
+            + max(0, others) * self.average_prefill_tokens
             + running * RUNNING_TOKENS
         )
 
@@ -267,8 +277,9 @@
 ) -> Chosen | None:
     """Return the target of a call to a plain service; None if none is ready.
 
-    The fewest requests of this router by place, failures counted in; equal
-    ones by failure domain, so that calls stay near where that costs nothing.
+    Takes the target with the fewest open requests of this router per slot,
+    plus a penalty for recent failures.  Ties go to this router's failure
+    domain, so that calls stay near where that costs nothing.
     """
     if not ready:
         return None
--- a/tests/forward_rig.py
+++ b/tests/forward_rig.py
@@ -1,4 +1,4 @@
-"""A router's forwarding with fake targets, on a virtual clock."""
+"""Test rig: a router's forwarding with fake targets, on a virtual clock."""
 
 import random
 from typing import Any
@@ -55,12 +55,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeCall:
-    """A call that only notes whether it was cancelled."""
+    """A call that only records whether it was cancelled."""
 
     is_cancelled: bool = False
 
     def cancel(self) -> None:
-        """Note the cancellation."""
+        """Record the cancellation."""
         self.is_cancelled = True
 
 
@@ -75,14 +75,14 @@
     def answer(
         self, status: int, body: bytes = b"", refusal: Failure | None = None
     ) -> None:
-        """Give a whole answer."""
+        """Deliver a complete answer."""
         self.sink.head(AnswerHead(status=status, headers=[], refusal=refusal))
         if body:
             self.sink.data(body)
         self.sink.done()
 
     def begin(self, status: int, body: bytes = b"") -> None:
-        """Give the beginning of an answer."""
+        """Deliver an answer's head and first data, without its end."""
         self.sink.head(AnswerHead(status=status, headers=[]))
         if body:
             self.sink.data(body)
@@ -90,10 +90,10 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakePort:
-    """Collects what is sent."""
+    """Records the requests and move orders that are sent."""
 
     sent: list[Sent] = attrs.field(factory=list)
-    # Moves asked for, and the answers to come.
+    # Requested moves, and their pending answers.
     moves: list[MoveOrder] = attrs.field(factory=list)
     move_answers: list[Deferred[Result[str, Failure]]] = attrs.field(
         factory=list
@@ -103,30 +103,30 @@
     async def move(
         self, order: MoveOrder, timeout_s: float
     ) -> Result[str, Failure]:
-        """Collect a move, and wait for the test's answer."""
+        """Record a move order, and wait for the test's answer."""
         self.moves.append(order)
         self.move_answers.append(Deferred())
         return await self.move_answers[-1]
 
     def drop_move(self, moved_from: str) -> None:
-        """Collect what nobody goes on with."""
+        """Record the memory of a moved run that will not be continued."""
         self.dropped.append(moved_from)
 
     def send(self, order: SendOrder, sink: AttemptSink) -> FakeCall:
-        """Collect a request."""
+        """Record a request."""
         self.sent.append(Sent(order=order, sink=sink))
         return self.sent[-1].call
 
     async def cache_news(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheNews, Failure]:
-        """Tell that there are watchers enough."""
+        """Refuse every watcher as one too many."""
         return Error(not_run(Reason.TARGET_BUSY))
 
 
 @attrs.define(kw_only=True, eq=False)
 class FakeCaller:
-    """Collects what a caller gets."""
+    """Records the answer that a caller gets."""
 
     statuses: list[int] = attrs.field(factory=list)
     body: bytes = b""
@@ -135,42 +135,42 @@
     is_ended: bool = False
 
     def send_head(self, status: int, headers: Headers) -> None:
-        """Note a head."""
+        """Record a head."""
         self.statuses.append(status)
 
     def send_data(self, data: bytes) -> None:
-        """Note a part of the body."""
+        """Record a part of the body."""
         self.body += data
 
     def send_end(self) -> None:
-        """Note the end."""
+        """Record the end."""
         self.is_ended = True
 
     def reply(self, status: int, headers: Headers, body: bytes) -> None:
-        """Note a whole answer."""
+        """Record a complete answer."""
         self.statuses.append(status)
         self.body += body
         self.is_ended = True
 
     def break_off(self) -> None:
-        """Note a break."""
+        """Record that the answer was broken off."""
         self.is_broken = True
 
     def refuse(self, failure: Failure) -> None:
-        """Note a refusal."""
+        """Record a refusal."""
         self.failure = failure
 
 
 def kind(name: str, **fields: Any) -> ForwardKind:
-    """Return a kind with usual times."""
-    usual: dict[str, Any] = {
+    """Return a request kind with default limits."""
+    defaults: dict[str, Any] = {
         "repeat": "never",
         "max_targets": 2,
         "timeout_s": 5.0,
         "aim_s": 0.5,
         "pause_s": 0.4,
     }
-    return ForwardKind(name=name, **{**usual, **fields})
+    return ForwardKind(name=name, **{**defaults, **fields})
 
 
 KINDS = {
@@ -183,7 +183,7 @@
 
 def state(revision: int = 1, **fields: Any) -> ForwardState:
     """Return a configuration with a route for each kind."""
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "accounts": {
             "a/0": ForwardAccount(name="a", token_digest=token_digest(KEY))
         },
@@ -203,23 +203,23 @@
             "llm": ForwardPool(name="llm", models=("m",), memory_tokens=10_000),
         },
     }
-    return ForwardState(revision=revision, **{**usual, **fields})
+    return ForwardState(revision=revision, **{**defaults, **fields})
 
 
 def target(name: str, pool: str = "app", **fields: Any) -> ForwardTarget:
-    """Return a target."""
+    """Return a target with default fields."""
     versions = {"m": 1} if pool == "llm" else {}
-    usual: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "address": f"{name}:80",
         "slots": 4,
         "versions": versions,
     }
-    return ForwardTarget(name=name, pool=pool, **{**usual, **fields})
+    return ForwardTarget(name=name, pool=pool, **{**defaults, **fields})
 
 
 @attrs.define(kw_only=True, eq=False)
 class ForwardRig:
-    """One router."""
+    """One router with its state, fake port and clock."""
 
     clock: Clock = attrs.field(factory=Clock)
     board: Blackboard = attrs.field(factory=Blackboard)
@@ -230,7 +230,7 @@
     made: int = 0
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together, with a fresh configuration."""
+        """Create the router with a current configuration."""
         self.freshness = Freshness(
             revoke_s=5.0, in_force_s=2.0, now=self.clock.seconds
         )
@@ -260,7 +260,7 @@
         self.configure(state())
 
     def configure(self, new: ForwardState) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         folded = Folded(state=new, next_offset=new.revision + 1)
         self.board.put_config(folded)
 
@@ -270,7 +270,7 @@
             self.fleet.put(item)
 
     def request(self, route: str, **fields: Any) -> ForwardRequest:
-        """Return a request of a route."""
+        """Return a request for a route."""
         self.made += 1
         prompt = Prompt(
             model="m",
@@ -281,7 +281,7 @@
                 PromptPart(id=f"own{self.made}", tokens=100),
             ),
         )
-        usual: dict[str, Any] = {
+        defaults: dict[str, Any] = {
             "request_id": f"q{self.made}",
             "host": "h",
             "path": f"/{route}/x",
@@ -294,7 +294,7 @@
             "deadline_s": 5.0,
             "prompt": prompt if KINDS[route].is_stream else None,
         }
-        return ForwardRequest(**{**usual, **fields})
+        return ForwardRequest(**{**defaults, **fields})
 
     def submit(self, route: str, **fields: Any) -> FakeCaller:
         """Submit a request and return its caller."""
@@ -303,7 +303,7 @@
         return caller
 
     def advance(self, seconds: float) -> None:
-        """Let time pass in small steps; the store confirms all the while."""
+        """Advance the clock in small steps; the store confirms after each."""
         for _ in range(round(seconds / 0.05)):
             self.clock.advance(0.05)
             self.freshness.confirmed(self.clock.seconds())
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Targets by incarnation, budgets, weights and placement, each by itself."""
+"""Unit tests of the fleet, freshness, repeats, rollout and record follower."""
 
 import random
 
@@ -28,9 +28,9 @@
 
 
 class IncarnationTest(TestCase):
-    """An id may come back as another start of a target."""
+    """A name may be registered again by a new incarnation of a target."""
 
-    def test_new_start_forgets_the_old_one(self) -> None:
+    def test_new_incarnation_resets_the_health(self) -> None:
         fleet = Fleet()
         fleet.put(target("t1", born_ms=1))
         fleet.failed("t1", 0.0, is_certain=True)
@@ -38,14 +38,15 @@
         self.assertTrue(fleet.put(target("t1", born_ms=2)))
         self.assertEqual(1, len(fleet.ready("app", 0.0)))
 
-    def test_older_start_does_not_return(self) -> None:
+    def test_older_incarnation_is_ignored(self) -> None:
         fleet = Fleet()
         fleet.put(target("t1", born_ms=2, address="new:1"))
         fleet.put(target("t1", born_ms=1, address="old:1"))
         self.assertEqual("new:1", fleet.views["t1"].target.address)
 
     def test_replaced_at_its_address(self) -> None:
-        # As read after a restart, in any order; the old entry has not lapsed.
+        # After a restart entries are read in any order, and the old one may
+        # not have expired yet.
         old = target("t1", address="ip:1", born_ms=1)
         new = target("t2", address="ip:1", born_ms=2)
         other = target("t3", "llm", address="ip:1", born_ms=3)
@@ -63,10 +64,10 @@
         self.assertEqual([], fleet.usable("app", 0.0))
 
 
-class LapseTest(TestCase):
-    """Entries that lapse with the store are judged after its return."""
+class StoreOutageTest(TestCase):
+    """Entries missing after a store outage are dropped after a grace period."""
 
-    def test_judged_two_seconds_after_the_return(self) -> None:
+    def test_missing_entries_are_dropped_after_the_grace_period(self) -> None:
         fleet = Fleet()
         fleet.put(target("t1"))
         fleet.put(target("t2"))
@@ -80,7 +81,7 @@
         names = [view.target.name for view in fleet.usable("app", 12.5)]
         self.assertEqual(["t1"], names)
 
-    def test_gone_at_once_while_the_store_answers(self) -> None:
+    def test_removed_immediately_while_the_store_answers(self) -> None:
         fleet = Fleet()
         fleet.put(target("t1"))
         fleet.remove("t1", 1.0)
@@ -88,30 +89,30 @@
 
 
 class StatusTest(TestCase):
-    """What agents tell keeps work away from targets that cannot take it."""
+    """Agents' statuses keep work away from targets that cannot take it."""
 
     def test_ready(self) -> None:
-        for status, heard_s, expected in (
+        for status, received_s, expected in (
             (TargetStatus(), 9.5, 1),
             (TargetStatus(is_loading=True), 9.5, 0),
             (TargetStatus(is_reachable=False), 9.5, 0),
             (TargetStatus(is_draining=True), 9.5, 0),
-            # What was said long ago says nothing, but that it drains.
+            # Outdated statuses are ignored, except that a target drains.
             (TargetStatus(is_loading=True), 1.0, 1),
             (TargetStatus(is_draining=True), 1.0, 0),
         ):
             fleet = Fleet()
             fleet.put(target("e1", "llm"))
-            fleet.heard("e1", status, heard_s)
+            fleet.heard("e1", status, received_s)
             ready = fleet.ready("llm", 10.0)
-            self.assertEqual(expected, len(ready), (status, heard_s))
+            self.assertEqual(expected, len(ready), (status, received_s))
 
     def test_winding_down_takes_short_work(self) -> None:
         fleet = Fleet()
         fleet.put(target("e1", "llm"))
         fleet.heard("e1", TargetStatus(is_winding_down=True), 9.5)
         for other, is_long, expected in (
-            # Long work has no other place yet.
+            # There is no other target for long work.
             (None, True, ["e1"]),
             ("e2", True, ["e2"]),
             ("e2", False, ["e1", "e2"]),
@@ -124,7 +125,7 @@
 
 
 class LikelyLengthTest(TestCase):
-    """The caller's estimate counts, but never beyond what is allowed."""
+    """The caller's estimate is used, limited to the tokens allowed."""
 
     def test_likely_tokens(self) -> None:
         for allowed, expected, likely in (
@@ -142,7 +143,7 @@
 
 
 class FreshnessTest(TestCase):
-    """Age counts from when the question was sent."""
+    """Age counts from when the confirmed request was sent."""
 
     def test_age(self) -> None:
         clock = Clock()
@@ -151,7 +152,7 @@
         clock.advance(3.0)
         fresh.confirmed(1.0)
         self.assertEqual(2.0, fresh.age_s)
-        # An answer to an earlier question proves nothing new.
+        # An answer to an earlier request does not change the age.
         fresh.confirmed(0.5)
         self.assertEqual(2.0, fresh.age_s)
         clock.advance(2.5)
@@ -159,9 +160,9 @@
 
 
 class RepeatWindowTest(TestCase):
-    """All routers together stay within the pool's repeats."""
+    """All routers together stay within the pool's bound on repeats."""
 
-    def test_shares_hold_together(self) -> None:
+    def test_routers_together_stay_within_the_bound(self) -> None:
         windows = [
             RepeatWindow(ratio=0.2, allowance=50.0, window_s=10.0)
             for _ in range(5)
@@ -169,22 +170,22 @@
         repeats = 0
         for window in windows:
             for _ in range(20):
-                window.first("p", 1.0)
-            repeats += sum(window.repeat("p", 2.0, 5) for _ in range(200))
+                window.count_first("p", 1.0)
+            repeats += sum(window.try_repeat("p", 2.0, 5) for _ in range(200))
         self.assertTrue(0 < repeats <= 0.2 * 100 + 50, repeats)
 
-    def test_less_while_the_others_are_unknown(self) -> None:
+    def test_fewer_while_the_number_of_routers_is_unknown(self) -> None:
         window = RepeatWindow(ratio=0.0, allowance=50.0, window_s=10.0)
-        known = sum(window.repeat("p", 1.0, 2) for _ in range(100))
-        unknown = sum(window.repeat("q", 1.0, 0) for _ in range(100))
+        known = sum(window.try_repeat("p", 1.0, 2) for _ in range(100))
+        unknown = sum(window.try_repeat("q", 1.0, 0) for _ in range(100))
         self.assertTrue(unknown < known)
 
     def test_window_slides(self) -> None:
         window = RepeatWindow(ratio=1.0, allowance=0.0, window_s=10.0)
         for _ in range(10):
-            window.first("p", 0.0)
-        self.assertTrue(window.repeat("p", 9.0, 1))
-        self.assertFalse(window.repeat("p", 11.0, 1))
+            window.count_first("p", 0.0)
+        self.assertTrue(window.try_repeat("p", 9.0, 1))
+        self.assertFalse(window.try_repeat("p", 11.0, 1))
 
 
 class RolloutTest(TestCase):
@@ -193,16 +194,17 @@
     def test_turns(self) -> None:
         for count in (1, 2, 6, 9, 60):
             pool = [f"e{number}" for number in range(count)]
-            behind = {
-                name: rollout.turn(name, pool, 6.0).behind for name in pool
+            predecessors = {
+                name: rollout.turn(name, pool, 6.0).predecessors
+                for name in pool
             }
             at_once = rollout.loads_at_once(count, 6.0)
-            first = [name for name in pool if not behind[name]]
+            first = [name for name in pool if not predecessors[name]]
             self.assertEqual(min(count, at_once), len(first))
-            # Each target but the last ones lets exactly one other begin.
-            followed = [names[0] for names in behind.values() if names]
+            # No two targets have the same direct predecessor.
+            followed = [names[0] for names in predecessors.values() if names]
             self.assertEqual(len(set(followed)), len(followed))
-            # All have their turn in the time allowed.
+            # All targets get their turn within the time allowed.
             self.assertTrue(-(-count // at_once) * rollout.TURN_S <= 6.0)
 
     def test_lacking(self) -> None:
@@ -217,7 +219,7 @@
         named = [
             NamedVersion(version=item, named_s=float(item)) for item in (2, 4)
         ]
-        overdue_s = 2.0 + rollout.LAST_TURN_SHARE * 6.0
+        overdue_s = 2.0 + rollout.OVERDUE_SHARE * 6.0
         self.assertFalse(rollout.is_overdue(named, 6.0, overdue_s - 0.1))
         self.assertTrue(rollout.is_overdue(named, 6.0, overdue_s + 0.1))
 
@@ -247,7 +249,7 @@
             (2, (short,), soon, True),
             (2, (short, long), soon, False),
             (2, (short, long), late, True),
-            # A target that does not tell of its runs.
+            # A target that does not report its runs.
             (2, None, soon, False),
             (2, None, late, True),
         ):
@@ -258,14 +260,14 @@
                 (running, runs, waited_s),
             )
 
-    def test_runs_that_are_not_listed_read_their_prompts(self) -> None:
+    def test_unlisted_runs_are_in_prefill(self) -> None:
         for runs, reading in (((3, 9), 2), ((), 4), (None, 0)):
             report = attrs.evolve(REPORT, running=4, runs=runs)
             self.assertEqual(reading, report.reading)
 
 
 class FakeStore:
-    """Answers what a test has laid out, in order."""
+    """Returns a test's prepared answers, in order."""
 
     def __init__(self, *answers: Result[KeyedPage, ReadFailure]) -> None:
         self.answers = list(answers)
@@ -285,25 +287,25 @@
 
 
 class Notes:
-    """A reader that notes what it is told."""
+    """A reader that records the calls that it gets."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.calls: list[str] = []
 
     def replaced(self, records: list[KeyedRecord]) -> None:
-        self.told.append("all " + " ".join(item.key for item in records))
+        self.calls.append("all " + " ".join(item.key for item in records))
 
     def changed(self, record: KeyedRecord) -> None:
-        self.told.append(f"changed {record.key}")
+        self.calls.append(f"changed {record.key}")
 
     def confirmed(self, asked_s: float) -> None:
-        self.told.append(f"as of {asked_s:g}")
+        self.calls.append(f"as of {asked_s:g}")
 
     def store_lost(self, detail: str) -> None:
-        self.told.append("lost")
+        self.calls.append("lost")
 
     def store_back(self) -> None:
-        self.told.append("back")
+        self.calls.append("back")
 
 
 def page(end: int, *keys: str, has_more: bool = False) -> KeyedPage:
@@ -313,7 +315,7 @@
 
 
 class FollowerTest(TestCase):
-    """However the store fails, the newest records are read afresh."""
+    """After any failure of the store, the newest records are read again."""
 
     def follow(
         self, *answers: Result[KeyedPage, ReadFailure]
@@ -334,28 +336,28 @@
                 break
             Deferred.fromCoroutine(follower.step())
             clock.advance(1.0)
-        return store.asked, notes.told
+        return store.asked, notes.calls
 
-    def test_pages_are_one_list_and_changes_follow_the_first(self) -> None:
-        asked, told = self.follow(
+    def test_pages_form_one_list_and_changes_follow_the_first(self) -> None:
+        asked, calls = self.follow(
             Ok(page(7, "a", has_more=True)), Ok(page(9, "b")), Ok(page(8, "c"))
         )
         self.assertEqual(["newest", "newest a", "read 7"], asked)
-        self.assertEqual(["all a b", "as of 0", "changed c", "as of 1"], told)
+        self.assertEqual(["all a b", "as of 0", "changed c", "as of 1"], calls)
 
-    def test_history_lost(self) -> None:
-        asked, told = self.follow(
+    def test_records_lost(self) -> None:
+        asked, calls = self.follow(
             Ok(page(7, "a")), Error(RecordsLost()), Ok(page(20, "b"))
         )
         self.assertEqual(["newest", "read 7", "newest"], asked)
-        self.assertEqual(["all a", "as of 0", "all b", "as of 2"], told)
+        self.assertEqual(["all a", "as of 0", "all b", "as of 2"], calls)
 
     def test_store_away(self) -> None:
         lost = Error(may_have_run(Reason.CONNECTION_LOST, "reset"))
-        asked, told = self.follow(
+        asked, calls = self.follow(
             Ok(page(7, "a")), lost, lost, Ok(page(9, "a"))
         )
         self.assertEqual(["newest", "read 7", "newest", "newest"], asked)
         self.assertEqual(
-            ["all a", "as of 0", "lost", "back", "all a", "as of 3"], told
+            ["all a", "as of 0", "lost", "back", "all a", "as of 3"], calls
         )
--- a/tests/test_forward_agent.py
+++ b/tests/test_forward_agent.py
@@ -1,4 +1,4 @@
-"""An agent's orders: announced, after the queue, and never twice."""
+"""An agent's load orders: when they are sent, and what it publishes."""
 
 from typing import Any
 
@@ -20,12 +20,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeTarget:
-    """A target that takes orders as its `seq` allows."""
+    """A target that accepts every order."""
 
     report_now: TargetReport
     orders: list[LoadOrder] = attrs.field(factory=list)
-    # Reports that show one waiting request less each.
-    draining: bool = False
+    # Whether each report shows one waiting request less.
+    drains_queue: bool = False
     is_answering: bool = True
     is_silent: bool = False
 
@@ -35,7 +35,7 @@
         if self.is_silent:
             return Error(may_have_run(Reason.START_TIMEOUT, "silent"))
         now = self.report_now
-        if now.waiting and self.draining:
+        if now.waiting and self.drains_queue:
             self.report_now = attrs.evolve(now, waiting=now.waiting - 1)
         return Ok(now)
 
@@ -55,28 +55,28 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakePeers:
-    """The agents of other targets."""
+    """The agents of other targets; all give the same answer."""
 
-    told: TargetStatus | None = None
+    answer: TargetStatus | None = None
 
     async def status(self, address: str) -> TargetStatus | None:
-        return self.told
+        return self.answer
 
 
 class OrderTest(TestCase):
-    """Orders to load weights."""
+    """When an agent orders its target to load weights."""
 
     def setUp(self) -> None:
         super().setUp()
         self.peers = FakePeers()
 
     def make(
-        self, draining: bool = False, **fields: Any
+        self, drains_queue: bool = False, **fields: Any
     ) -> tuple[Clock, ForwardAgent, FakeTarget]:
         clock, fleet = Clock(), Fleet()
         fleet.put(target("e1", "llm", address="ip:1"))
         fake = FakeTarget(
-            report_now=attrs.evolve(REPORT, **fields), draining=draining
+            report_now=attrs.evolve(REPORT, **fields), drains_queue=drains_queue
         )
         agent = ForwardAgent(
             address="ip:1",
@@ -91,52 +91,52 @@
         Deferred.fromCoroutine(agent.run())
         return clock, agent, fake
 
-    def last_in_turn(self) -> tuple[Clock, ForwardAgent, FakeTarget]:
+    def make_with_predecessors(self) -> tuple[Clock, ForwardAgent, FakeTarget]:
         clock, agent, fake = self.make()
         others = [f"f{number}" for number in range(30)]
         agent.weights_s = 100.0
         for name in others:
             agent.fleet.put(target(name, "llm"))
         pool = ["e1", *others]
-        if not rollout.turn("e1", pool, 100.0).behind:
-            raise AssertionError("the target is among the first")
+        if not rollout.turn("e1", pool, 100.0).predecessors:
+            raise AssertionError("e1 has no predecessors in the load order")
         agent.weights_named("m", 2, False)
         return clock, agent, fake
 
-    def test_begins_when_the_one_before_is_done(self) -> None:
-        clock, _, fake = self.last_in_turn()
-        for told, orders in (
+    def test_loads_when_its_predecessor_has_loaded(self) -> None:
+        clock, _, fake = self.make_with_predecessors()
+        for status, orders in (
             (TargetStatus(versions={"m": 1}), 0),
             (TargetStatus(versions={"m": 2}, is_loading=True), 0),
             (TargetStatus(versions={"m": 2}), 1),
         ):
-            self.peers.told = told
+            self.peers.answer = status
             self.advance(clock, 1.0)
-            self.assertEqual(orders, len(fake.orders), told)
+            self.assertEqual(orders, len(fake.orders), status)
 
-    def test_does_not_wait_for_who_is_lost(self) -> None:
-        for told in (
+    def test_does_not_wait_for_an_unavailable_predecessor(self) -> None:
+        for status in (
             None,
             TargetStatus(versions={"m": 1}, is_reachable=False),
             TargetStatus(versions={"m": 1}, is_draining=True),
         ):
-            self.peers.told = told
-            clock, _, fake = self.last_in_turn()
+            self.peers.answer = status
+            clock, _, fake = self.make_with_predecessors()
             self.advance(clock, 1.0)
-            self.assertEqual(1, len(fake.orders), told)
+            self.assertEqual(1, len(fake.orders), status)
 
-    def test_named_before_a_restart_needs_no_turn(self) -> None:
-        self.peers.told = TargetStatus(versions={"m": 1})
-        clock, agent, fake = self.last_in_turn()
+    def test_version_named_before_a_restart_needs_no_turn(self) -> None:
+        self.peers.answer = TargetStatus(versions={"m": 1})
+        clock, agent, fake = self.make_with_predecessors()
         agent.named.clear()
         agent.weights_named("m", 2, True)
         self.advance(clock, 1.0)
         self.assertEqual(1, len(fake.orders))
 
-    def test_begins_late_without_a_turn(self) -> None:
-        self.peers.told = TargetStatus(versions={"m": 1})
-        clock, _, fake = self.last_in_turn()
-        overdue_s = 100.0 * rollout.LAST_TURN_SHARE
+    def test_overdue_load_does_not_wait_for_its_turn(self) -> None:
+        self.peers.answer = TargetStatus(versions={"m": 1})
+        clock, _, fake = self.make_with_predecessors()
+        overdue_s = 100.0 * rollout.OVERDUE_SHARE
         self.advance(clock, overdue_s - 2.0)
         self.assertEqual(0, len(fake.orders))
         self.advance(clock, 4.0)
@@ -146,7 +146,7 @@
         for _ in range(round(seconds / 0.01)):
             clock.advance(0.01)
 
-    def test_announced_before_it_is_given(self) -> None:
+    def test_load_is_announced_before_it_is_ordered(self) -> None:
         clock, agent, fake = self.make()
         agent.weights_named("m", 2, False)
         for _ in range(100):
@@ -158,15 +158,15 @@
         self.advance(clock, 0.2)
         self.assertEqual([2], [order.version for order in fake.orders])
 
-    def test_given_once_the_queue_is_empty(self) -> None:
-        clock, agent, fake = self.make(waiting=5, draining=True)
+    def test_ordered_once_the_queue_is_empty(self) -> None:
+        clock, agent, fake = self.make(waiting=5, drains_queue=True)
         agent.weights_named("m", 2, False)
         self.advance(clock, 0.15)
         self.assertEqual([], fake.orders)
         self.advance(clock, 0.3)
         self.assertEqual(1, len(fake.orders))
 
-    def test_given_although_the_queue_stays(self) -> None:
+    def test_ordered_although_the_queue_does_not_empty(self) -> None:
         clock, agent, fake = self.make(waiting=5)
         agent.weights_named("m", 2, False)
         self.advance(clock, 0.9)
@@ -174,7 +174,7 @@
         self.advance(clock, 0.4)
         self.assertEqual(1, len(fake.orders))
 
-    def test_long_runs_end_before_it_is_given(self) -> None:
+    def test_waits_for_long_runs_up_to_the_limit(self) -> None:
         clock, agent, fake = self.make(running=1, runs=(90,))
         agent.weights_named("m", 2, False)
         self.advance(clock, 0.2)
@@ -186,14 +186,14 @@
         self.assertEqual(1, len(fake.orders))
         self.assertFalse(agent.status.is_winding_down)
 
-    def test_winds_down_while_the_one_before_loads(self) -> None:
-        clock, agent, fake = self.last_in_turn()
+    def test_winds_down_while_its_predecessor_loads(self) -> None:
+        clock, agent, fake = self.make_with_predecessors()
         fake.report_now = attrs.evolve(fake.report_now, running=1, runs=(3,))
-        self.peers.told = TargetStatus(versions={"m": 1}, is_loading=True)
+        self.peers.answer = TargetStatus(versions={"m": 1}, is_loading=True)
         self.advance(clock, 2.0)
         self.assertTrue(agent.status.is_winding_down)
         self.assertEqual([], fake.orders)
-        self.peers.told = TargetStatus(versions={"m": 2})
+        self.peers.answer = TargetStatus(versions={"m": 2})
         self.advance(clock, 0.2)
         self.assertEqual(1, len(fake.orders))
 
@@ -203,7 +203,7 @@
         self.advance(clock, 0.3)
         self.assertEqual(1, len(fake.orders))
 
-    def test_end_of_a_load_is_told_at_once(self) -> None:
+    def test_end_of_a_load_is_published_immediately(self) -> None:
         clock, agent, fake = self.make()
         agent.weights_named("m", 2, False)
         while not fake.orders:
@@ -215,7 +215,7 @@
         self.advance(clock, 0.05)
         self.assertFalse(agent.status.is_loading)
 
-    def test_newest_only_and_forward_only(self) -> None:
+    def test_only_the_newest_version_is_ordered(self) -> None:
         clock, agent, fake = self.make()
         for version in (2, 4, 3):
             agent.weights_named("m", version, False)
@@ -230,11 +230,11 @@
         agent.weights_named("m", 2, False)
         self.advance(clock, 2.0)
         self.assertTrue(len(fake.orders) > 1)
-        # Whichever comes first makes the others fail.
+        # The first order that the target accepts makes it refuse the others.
         self.assertEqual({0}, {order.after_orders for order in fake.orders})
         self.assertEqual({1}, {order.fencing for order in fake.orders})
 
-    def test_silent_target_is_told(self) -> None:
+    def test_silent_target_is_reported_as_unreachable(self) -> None:
         clock, agent, fake = self.make()
         self.advance(clock, 0.3)
         self.assertTrue(agent.status.is_reachable)
@@ -245,7 +245,7 @@
         self.advance(clock, 0.2)
         self.assertTrue(agent.status.is_reachable)
 
-    def test_a_fault_does_not_end_the_agent(self) -> None:
+    def test_exception_does_not_end_the_agent(self) -> None:
         clock, agent, fake = self.make()
         good = fake.report_now
         fake.report_now = None  # type: ignore[assignment]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarded requests: what repeats, what is told, and whole answers."""
+"""Forwarded requests: repeats, reported statuses, and complete answers."""
 
 from testtools import TestCase
 
@@ -18,12 +18,12 @@
 
 
 def event(number: int) -> bytes:
-    """Return an event."""
+    """Return an event of a stream."""
     return b"id: %d\ndata: x\n\n" % number
 
 
 class RepeatTest(TestCase):
-    """What may have run is sent again only where its kind allows that."""
+    """A request that may have run is repeated only if its kind allows that."""
 
     def rig(self) -> ForwardRig:
         rig = ForwardRig()
@@ -32,7 +32,7 @@
         return rig
 
     def test_lost_connection(self) -> None:
-        # Route, sends in all, status for the caller.
+        # Route and total number of sends.
         for route, sends in (("read", 2), ("book", 1), ("brief", 1)):
             rig = self.rig()
             caller = rig.submit(route)
@@ -54,7 +54,7 @@
             self.assertEqual([200], caller.statuses, route)
             self.assertEqual(b"whole", caller.body)
 
-    def test_refused_by_all_is_a_promise(self) -> None:
+    def test_refused_by_all_is_reported_as_not_run(self) -> None:
         rig = self.rig()
         caller = rig.submit("book")
         rig.port.sent[0].answer(503, refusal=BUSY)
@@ -65,7 +65,7 @@
         self.assertEqual(503, forwarded_status(failure))
         self.assertTrue(failure.retry_after_s)
 
-    def test_no_promise_after_a_run(self) -> None:
+    def test_refusal_after_a_possible_run_may_have_run(self) -> None:
         rig = self.rig()
         caller = rig.submit("read")
         rig.port.sent[0].sink.failed(LOST)
@@ -73,7 +73,7 @@
         assert caller.failure is not None
         self.assertEqual(502, forwarded_status(caller.failure))
 
-    def test_connection_not_opened_costs_no_target(self) -> None:
+    def test_unopened_connection_does_not_count_as_a_target(self) -> None:
         rig = self.rig()
         caller = rig.submit("brief")
         rig.port.sent[0].sink.failed(UNREACHED)
@@ -93,7 +93,7 @@
         rig.port.sent[2].answer(500, b"bad")
         self.assertEqual([500], caller.statuses)
 
-    def test_budget_of_repeats(self) -> None:
+    def test_repeats_are_bounded(self) -> None:
         rig = self.rig()
         rig.forwarder.window.allowance = 0.0
         rig.forwarder.window.ratio = 0.0
@@ -105,14 +105,14 @@
 
 
 class StreamTest(TestCase):
-    """Streams arrive complete, in order, and without a seam."""
+    """Streams arrive complete, in order, and without gaps or repeats."""
 
     def rig(self) -> ForwardRig:
         rig = ForwardRig()
         rig.add(target("e1", "llm"), target("e2", "llm"))
         return rig
 
-    def test_resumed_behind_the_last_whole_event(self) -> None:
+    def test_resumed_after_the_last_complete_event(self) -> None:
         rig = self.rig()
         caller = rig.submit("draft")
         rig.port.sent[0].begin(200, event(1) + event(2) + b"id: 3\nda")
@@ -125,19 +125,27 @@
         self.assertTrue(caller.is_ended)
         self.assertEqual([200], caller.statuses)
 
-    def test_prompt_is_ahead_until_the_stream_begins(self) -> None:
+    def test_prefill_is_pending_until_the_stream_begins(self) -> None:
         rig = ForwardRig()
         rig.add(target("e1", "llm"))
         rig.submit("draft")
         view = rig.fleet.views["e1"]
-        self.assertEqual((1, 300), (view.unread_requests, view.unread_tokens))
+        self.assertEqual(
+            (1, 300), (view.pending_prefills, view.pending_prefill_tokens)
+        )
         rig.port.sent[0].begin(200, event(1))
-        self.assertEqual((0, 0), (view.unread_requests, view.unread_tokens))
+        self.assertEqual(
+            (0, 0), (view.pending_prefills, view.pending_prefill_tokens)
+        )
         self.assertEqual(1, view.open_requests)
         rig.port.sent[0].sink.done()
         self.assertEqual(
             (0, 0, 0),
-            (view.unread_requests, view.unread_tokens, view.open_requests),
+            (
+                view.pending_prefills,
+                view.pending_prefill_tokens,
+                view.open_requests,
+            ),
         )
 
     def test_repeated_events_are_dropped(self) -> None:
@@ -156,7 +164,7 @@
         self.assertTrue(caller.is_broken)
         self.assertFalse(caller.is_ended)
 
-    def test_silent_stream_goes_on_elsewhere(self) -> None:
+    def test_silent_stream_is_resumed_at_another_target(self) -> None:
         rig = self.rig()
         caller = rig.submit("draft")
         rig.port.sent[0].begin(200, event(1))
@@ -167,9 +175,11 @@
 
 
 class TimeTest(TestCase):
-    """A request that was given up on gets its final answer at once."""
+    """Requests end within their time limit, and pass on the time left."""
 
-    def end_of_time(self, route: str, with_target: bool) -> FakeCaller:
+    def submit_until_deadline(
+        self, route: str, with_target: bool
+    ) -> FakeCaller:
         rig = ForwardRig()
         rig.add(target("t1"), target("e1", "llm"))
         if not with_target:
@@ -179,17 +189,17 @@
         return caller
 
     def test_timeout_of_the_route(self) -> None:
-        caller = self.end_of_time("book", with_target=True)
+        caller = self.submit_until_deadline("book", with_target=True)
         assert caller.failure is not None
         self.assertEqual(504, forwarded_status(caller.failure))
 
-    def test_no_target_is_told_early_and_as_not_run(self) -> None:
-        caller = self.end_of_time("book", with_target=False)
+    def test_no_target_is_refused_early_and_as_not_run(self) -> None:
+        caller = self.submit_until_deadline("book", with_target=False)
         assert caller.failure is not None
         self.assertEqual(503, forwarded_status(caller.failure))
         self.assertEqual(Reason.NO_TARGET, caller.failure.reason)
 
-    def test_empty_pool_is_told_at_once(self) -> None:
+    def test_empty_pool_is_refused_immediately(self) -> None:
         rig = ForwardRig()
         caller = rig.submit("book")
         assert caller.failure is not None
@@ -204,7 +214,7 @@
         rig.advance(0.5)
         self.assertEqual(1, len(rig.port.sent))
 
-    def test_what_is_left_is_handed_on(self) -> None:
+    def test_remaining_time_is_passed_to_the_next_target(self) -> None:
         rig = ForwardRig()
         rig.add(target("t1"), target("t2"))
         rig.submit("read")
@@ -215,7 +225,7 @@
         self.assertAlmostEqual(4.0, second, delta=0.1)
 
     def test_caller_gone(self) -> None:
-        # An action goes on; what may repeat or streams stops.
+        # Repeatable and streaming requests are cancelled; an action continues.
         for route, is_cancelled in (
             ("read", True),
             ("book", False),
@@ -232,7 +242,7 @@
 
 
 class KeyTest(TestCase):
-    """Keys and routes are judged by a configuration of known age."""
+    """Keys and routes are checked against a configuration of known age."""
 
     def refusal(self, rig: ForwardRig, **fields: str) -> int:
         caller = rig.submit("read", **fields)
@@ -258,12 +268,12 @@
             got = self.refusal(rig, key=key, host=host)
             self.assertEqual(status, got, (age_s, key, host))
 
-    def test_no_configuration_is_no_denial(self) -> None:
+    def test_missing_configuration_is_not_reported_as_denial(self) -> None:
         rig = ForwardRig()
         rig.board.folded = type(rig.board.folded)()
         self.assertEqual(503, self.refusal(rig))
 
-    def test_key_taken_away_while_the_request_waits(self) -> None:
+    def test_key_revoked_while_the_request_waits(self) -> None:
         rig = ForwardRig()
         rig.add(target("t1"))
         rig.fleet.shed("t1", 0.0)
@@ -288,8 +298,8 @@
         return bool(rig.port.sent)
 
     def test_older_weights(self) -> None:
-        # All targets must have the weights within 6 s; a router that has
-        # started cannot know how much of that had passed.
+        # All targets must have the weights within 6 s; a router that has just
+        # started cannot know how much of that time has already passed.
         for is_late, after_s, expected in (
             (False, 0.0, True),
             (False, 4.0, True),
@@ -301,7 +311,9 @@
             served = self.served(is_late, after_s)
             self.assertEqual(expected, served, (is_late, after_s))
 
-    def test_newer_version_does_not_prolong_an_older_ones_time(self) -> None:
+    def test_newer_version_does_not_extend_the_time_of_an_older_one(
+        self,
+    ) -> None:
         for has, expected in ((1, False), (2, True), (3, True)):
             rig = ForwardRig()
             rig.add(target("e1", "llm", versions={"m": has}))
--- a/tests/test_stream_move.py
+++ b/tests/test_stream_move.py
@@ -1,4 +1,4 @@
-"""Streams that move to another target in the midst of their answers."""
+"""Streams that move to another target during their answers."""
 
 from typing import Any
 
@@ -25,12 +25,12 @@
 
 
 class MoveTest(TestCase):
-    """One stream at a target that begins to load."""
+    """One stream at a target that begins to load weights."""
 
     def begin(
         self, route: str = "draft", has_moves: bool = True, body: bytes = b""
     ) -> FakeCaller:
-        """Begin a stream; its target then says that it is to load."""
+        """Begin a stream; its target then reports that it will load."""
         self.rig = ForwardRig()
         pool = ForwardPool(
             name="llm",
@@ -48,26 +48,26 @@
         return caller
 
     def load(self, name: str, **fields: Any) -> None:
-        """Let a target say that it is to load."""
+        """Let a target's agent report that the target will load."""
         now_s = self.rig.clock.seconds()
         self.rig.fleet.heard(name, LOADING, now_s)
         self.rig.forwarder.status_changed(name)
 
     def answer(self, moved_from: str = "ip:1/h") -> None:
-        """Answer the move: the run was stopped and copied."""
+        """Answer the move request: the run was stopped and copied."""
         self.rig.port.move_answers[-1].callback(Ok(moved_from))
 
     def refuse(self) -> None:
-        """Answer the move: it failed."""
+        """Answer the move request: the move failed."""
         self.rig.port.move_answers[-1].callback(Error(LOST))
 
     def go_on(self, *numbers: int) -> None:
-        """Let the last attempt make the events that are left."""
+        """Answer the last attempt with the given events."""
         self.rig.port.sent[-1].answer(200, events(*numbers))
 
-    def test_goes_on_behind_the_last_event(self) -> None:
-        # The end of the stream and the answer come in either order, and
-        # events may come between them.
+    def test_continues_after_the_last_event(self) -> None:
+        # The stream may end before or after the answer to the move request,
+        # and further events may arrive first.
         for late, is_answered_first in (
             ((), True),
             ((), False),
@@ -95,7 +95,7 @@
             self.assertTrue(caller.is_ended)
             self.assertEqual([200], caller.statuses)
 
-    def test_stream_that_does_not_end_is_cut(self) -> None:
+    def test_stream_that_does_not_end_is_cancelled(self) -> None:
         caller = self.begin()
         self.answer()
         self.assertEqual(1, len(self.rig.port.sent))
@@ -113,7 +113,7 @@
         self.assertEqual(events(1, 2, 3), caller.body)
         self.assertTrue(caller.is_ended)
 
-    def test_broken_by_a_failed_move_is_resumed(self) -> None:
+    def test_stream_broken_by_a_failed_move_is_resumed(self) -> None:
         for is_answered_first in (True, False):
             caller = self.begin()
             if is_answered_first:
@@ -126,7 +126,7 @@
             self.go_on(3)
             self.assertEqual(events(1, 2, 3), caller.body)
 
-    def test_refused_by_the_goal_is_resumed(self) -> None:
+    def test_stream_refused_by_the_goal_is_resumed(self) -> None:
         caller = self.begin()
         self.answer()
         self.first.sink.failed(LOST)
@@ -138,7 +138,7 @@
         self.go_on(3)
         self.assertEqual(events(1, 2, 3), caller.body)
 
-    def test_ended_meanwhile(self) -> None:
+    def test_stream_ends_during_the_move(self) -> None:
         caller = self.begin()
         self.first.sink.data(event(3))
         self.first.sink.done()
@@ -147,7 +147,7 @@
         self.assertEqual(1, len(self.rig.port.sent))
         self.assertEqual(["ip:1/h"], self.rig.port.dropped)
 
-    def test_caller_gone_meanwhile(self) -> None:
+    def test_caller_disconnects_during_the_move(self) -> None:
         self.begin()
         (forwarding,) = self.rig.forwarder.open
         forwarding.caller_gone()
@@ -156,7 +156,7 @@
         self.assertEqual(1, len(self.rig.port.sent))
         self.assertEqual(["ip:1/h"], self.rig.port.dropped)
 
-    def test_moves_again(self) -> None:
+    def test_stream_moves_twice(self) -> None:
         caller = self.begin()
         self.answer()
         self.first.sink.failed(LOST)
@@ -170,7 +170,7 @@
         self.go_on(4)
         self.assertEqual(events(1, 2, 3, 4), caller.body)
 
-    def test_stays(self) -> None:
+    def test_stream_that_cannot_move_stays(self) -> None:
         for what, fields in (
             ("may not be resumed", {"route": "brief"}),
             ("copies no memory", {"has_moves": False}),
@@ -179,7 +179,7 @@
             self.begin(**fields)  # type: ignore[arg-type]
             self.assertEqual([], self.rig.port.moves, what)
 
-    def test_stays_without_a_place_to_go(self) -> None:
+    def test_stream_stays_without_a_destination(self) -> None:
         for fields in ({"versions": {"m": 2}}, {"is_draining": True}):
             self.rig = ForwardRig()
             caller = self.begin()
@@ -192,7 +192,7 @@
             self.assertEqual([], self.rig.port.moves, fields)
             self.assertFalse(caller.is_ended)
 
-    def test_is_no_repeat(self) -> None:
+    def test_move_is_not_counted_as_a_repeat(self) -> None:
         caller = self.begin()
         self.rig.forwarder.window.allowance = 0.0
         self.rig.forwarder.window.ratio = 0.0
--- a/tests/test_target_choice.py
+++ b/tests/test_target_choice.py
@@ -1,4 +1,4 @@
-"""Where prompts and calls go."""
+"""Choosing targets for prompts and for calls to plain services."""
 
 from testtools import TestCase
 
@@ -22,7 +22,7 @@
 
 
 class ChoiceTest(TestCase):
-    """Prompts go where they are cheapest, and only to right weights."""
+    """Prompts go to the cheapest target with weights that are new enough."""
 
     def views(self, *versions: int) -> list[TargetView]:
         return [
@@ -46,7 +46,7 @@
             self.choose(list(reversed(self.views(1, 1, 1))), {}),
         )
 
-    def test_busy_home_gives_way(self) -> None:
+    def test_busy_home_is_avoided(self) -> None:
         views = self.views(1, 1, 1)
         home = self.choose(views, {})
         for view in views:
@@ -55,7 +55,7 @@
                 view.status_s = 0.0
         self.assertNotEqual(home, self.choose(views, {}))
 
-    def test_silent_agent_gives_way(self) -> None:
+    def test_target_with_silent_agent_is_avoided(self) -> None:
         views = self.views(1, 1, 1)
         home = self.choose(views, {})
         for view in views:
@@ -64,8 +64,8 @@
                 view.status_s = -5.0
         self.assertNotEqual(home, self.choose(views, {}))
 
-    def test_prompts_being_read_are_ahead(self) -> None:
-        # Those that this router sent are known, and not counted twice.
+    def test_backlog_counts_prompts_in_prefill(self) -> None:
+        # Prompts that this router sent are known, and not counted twice.
         for reading, sent, sent_tokens, expected in (
             (0, 0, 0, 0.0),
             (3, 0, 0, 6_000.0),
@@ -75,12 +75,12 @@
             (view,) = self.views(1)
             view.status = TargetStatus(reading=reading)
             view.status_s = 0.0
-            view.unread_requests = sent
-            view.unread_tokens = sent_tokens
+            view.pending_prefills = sent
+            view.pending_prefill_tokens = sent_tokens
             chooser = PromptChooser(
-                held={}, pool=[view], now_s=0.0, usual_tokens=2_000.0
+                held={}, pool=[view], now_s=0.0, average_prefill_tokens=2_000.0
             )
-            self.assertEqual(expected, chooser.ahead(view))
+            self.assertEqual(expected, chooser.backlog_tokens(view))
 
     def test_newer_weights_are_preferred(self) -> None:
         views = self.views(1, 2, 1)
@@ -96,7 +96,7 @@
         self.assertEqual("e1", self.choose(views, {}, oldest=2))
         self.assertEqual(None, self.choose(views, {}, oldest=3))
 
-    def test_fetches_from_who_holds_the_parts(self) -> None:
+    def test_fetches_from_the_target_that_holds_the_parts(self) -> None:
         views = self.views(1, 1)
         salt = cache_salt("a", "m", 1, False)
         held = HeldParts(capacity_tokens=10_000)
@@ -105,7 +105,7 @@
         chosen = chooser.choose(views[1:], PROMPT, "a", False, 0)
         assert chosen is not None
         self.assertEqual("e0:80", chosen.source)
-        self.assertTrue(chosen.missing_tokens < PROMPT.tokens)
+        self.assertTrue(chosen.prefill_tokens < PROMPT.tokens)
 
     def test_fetches_inside_the_failure_domain(self) -> None:
         salt = cache_salt("a", "m", 1, False)
@@ -123,7 +123,7 @@
         self.assertEqual("e1:80", chosen.source)
 
     def test_keeper_completes_what_the_target_holds(self) -> None:
-        # The keeper has dropped the first part, which nobody fetches there.
+        # The keeper has evicted the first part, which the target holds itself.
         salt = cache_salt("a", "m", 1, False)
         own = HeldParts(capacity_tokens=10_000)
         own.sent(salt, PROMPT.parts[:1])
@@ -139,10 +139,10 @@
         chosen = chooser.choose(views, PROMPT, "a", False, 0)
         assert chosen is not None
         self.assertEqual("keeper:1", chosen.source)
-        # What is not read again need not be sent there.
+        # Fetched parts need not be stored at the keeper again.
         self.assertEqual("", chosen.keeper)
 
-    def test_keeper_gets_the_shared_parts_that_are_read(self) -> None:
+    def test_keeper_gets_the_shared_parts_that_are_prefilled(self) -> None:
         salt = cache_salt("a", "m", 1, False)
         views = self.views(1)
         for held, kept, expected in (
@@ -174,10 +174,11 @@
             for version in (1, 2)
             for isolated in (False, True)
         }
-        # Accounts that are not isolated share: 4 salts, and 8 of their own.
+        # 4 salts shared by accounts that are not isolated, and 8 of isolated
+        # accounts.
         self.assertEqual(12, len(salts))
 
-    def test_calls_avoid_who_fails(self) -> None:
+    def test_calls_avoid_failing_targets(self) -> None:
         members = Members()
         views = [TargetView(target=target(name)) for name in ("t1", "t2")]
         for _ in range(5):
