--- a/sequoiawind/course.py
+++ b/sequoiawind/course.py
@@ -34,7 +34,7 @@
 
         Args:
           timeout_s: Time until the timeout, in seconds.
-          on_silence: Called when the target has sent nothing until then.
+          on_silence: Called at the timeout, unless it is stopped or restarted.
         """
         self.stop_timer()
         self.timer = self.clock.callLater(timeout_s, on_silence)
--- a/sequoiawind/fleet.py
+++ b/sequoiawind/fleet.py
@@ -19,7 +19,8 @@
 # seconds: the platform guarantees that live targets register again within
 # about two.
 RETURN_GRACE_S: Final = 2.2
-# Age above which an agent's status is ignored as outdated, in seconds.
+# Age above which an agent's status is too old to indicate its target's load,
+# in seconds.
 STATUS_LIFETIME_S: Final = 1.2
 # How long to avoid a target that shed a request, in seconds: about the time
 # in which a target drains a full queue or loads weights.
--- a/sequoiawind/forward_agent.py
+++ b/sequoiawind/forward_agent.py
@@ -171,7 +171,7 @@
     def publish(self, status: TargetStatus) -> None:
         """Store a status and notify waiting routers, if it differs enough."""
         old = self.status
-        if not differs(old, status):
+        if not needs_publishing(old, status):
             return
         self.status = attrs.evolve(status, number=old.number + 1)
         watchers, self.watchers = self.watchers, []
@@ -216,7 +216,7 @@
             ahead.append(await self.progress(name, model, newest))
             if ahead.count(Progress.ABSENT) < len(ahead) - 1:
                 break
-        is_turn = rollout.stage(ahead)
+        is_turn = rollout.turn_state(ahead)
         return None if is_turn is None else Due(version=newest, is_turn=is_turn)
 
     async def progress(self, name: str, model: str, version: int) -> Progress:
@@ -366,7 +366,7 @@
             watcher.callback(None)
 
 
-def differs(old: TargetStatus, new: TargetStatus) -> bool:
+def needs_publishing(old: TargetStatus, new: TargetStatus) -> bool:
     """Whether a new status differs enough to be published."""
     if abs(old.running - new.running) >= LOAD_STEP:
         return True
--- a/sequoiawind/forward_ports.py
+++ b/sequoiawind/forward_ports.py
@@ -1,6 +1,6 @@
 """Interfaces between forwarding and its transports.
 
-``platform`` implements them on the wire format; tests use fakes on a virtual
+``platform`` implements them for the wire format; tests use fakes on a virtual
 clock.
 """
 
@@ -61,12 +61,12 @@
     headers: Headers
     # Set if the target states that it did not run the request.
     refusal: Failure | None = None
-    # Weights version by model that the answer names.
+    # Weights version by model that the answer reports.
     versions: Mapping[str, int] = attrs.field(factory=dict)
 
 
 class AttemptSink(Protocol):
-    """Receives an answer; `done` or `failed` is called exactly once."""
+    """Receives an answer; the last call is one to `done` or `failed`."""
 
     def head(self, head: AnswerHead) -> None:
         """Receive the answer's head."""
--- a/sequoiawind/freshness.py
+++ b/sequoiawind/freshness.py
@@ -54,6 +54,6 @@
     def may_deny(self) -> bool:
         """Whether an unknown route or key may be refused as not configured.
 
-        False if it may have been added since the last confirmation.
+        False if an entry that must be in force by now may be missing.
         """
         return self.age_s < self.in_force_s
--- a/sequoiawind/repeat_window.py
+++ b/sequoiawind/repeat_window.py
@@ -23,7 +23,7 @@
 
 
 @attrs.define(kw_only=True)
-class PoolCounts:
+class SendTimes:
     """Times of one router's sends to one pool within the window."""
 
     first_s: deque[float] = attrs.field(factory=deque)
@@ -39,11 +39,11 @@
     # Further repeats allowed in one window, for all routers together.
     allowance: float
     window_s: float
-    counts: dict[str, PoolCounts] = attrs.field(factory=dict)
+    sends: dict[str, SendTimes] = attrs.field(factory=dict)
 
     def count_first(self, pool: str, now_s: float) -> None:
         """Count a request's first attempt."""
-        self.counts_of(pool, now_s).first_s.append(now_s)
+        self.sends_of(pool, now_s).first_s.append(now_s)
 
     def try_repeat(self, pool: str, now_s: float, routers: int) -> bool:
         """Count a repeat if it is allowed; return whether it is.
@@ -53,20 +53,20 @@
           now_s: The time, in seconds of the clock.
           routers: Number of routers; 0 if unknown.
         """
-        counts = self.counts_of(pool, now_s)
+        sends = self.sends_of(pool, now_s)
         known = routers or ASSUMED_ROUTERS
         bound = USED_SHARE * (
-            self.ratio * len(counts.first_s) + self.allowance / known
+            self.ratio * len(sends.first_s) + self.allowance / known
         )
-        if len(counts.repeats_s) + 1 > bound:
+        if len(sends.repeats_s) + 1 > bound:
             return False
-        counts.repeats_s.append(now_s)
+        sends.repeats_s.append(now_s)
         return True
 
-    def counts_of(self, pool: str, now_s: float) -> PoolCounts:
-        """Return a pool's counts after removing those outside the window."""
-        counts = self.counts.setdefault(pool, PoolCounts())
-        for times_s in (counts.first_s, counts.repeats_s):
+    def sends_of(self, pool: str, now_s: float) -> SendTimes:
+        """Return a pool's sends, without those before the window."""
+        sends = self.sends.setdefault(pool, SendTimes())
+        for times_s in (sends.first_s, sends.repeats_s):
             while times_s and times_s[0] <= now_s - self.window_s:
                 times_s.popleft()
-        return counts
+        return sends
--- a/sequoiawind/rollout.py
+++ b/sequoiawind/rollout.py
@@ -188,12 +188,12 @@
         del named[:-MAX_NAMED]
 
 
-def stage(ahead: Sequence[Progress]) -> bool | None:
+def turn_state(ahead: Sequence[Progress]) -> bool | None:
     """Return whether it is a target's turn; None if it need not wind down.
 
-    A target winds down once the second one before it has loaded or the nearest
-    one is loading, so that it is ready when its turn comes and most of the
-    pool still takes long runs.
+    A target winds down once the nearest one before it is loading, or the
+    second one before it has loaded or does not exist.  So it is ready when its
+    turn comes, and most of the pool still takes long runs.
 
     Args:
       ahead: Progress of the targets before it, the nearest first.
--- a/sequoiawind/target_choice.py
+++ b/sequoiawind/target_choice.py
@@ -184,8 +184,8 @@
         keeper = self.keeper
         if keeper is None:
             return ""
-        to_read = prompt.parts[source.parts : -1]
-        if all(keeper.held.holds(salt, part) for part in to_read):
+        to_prefill = prompt.parts[source.parts : -1]
+        if all(keeper.held.holds(salt, part) for part in to_prefill):
             return ""
         return keeper.address
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -223,7 +223,7 @@
         self.assertFalse(rollout.is_overdue(named, 6.0, overdue_s - 0.1))
         self.assertTrue(rollout.is_overdue(named, 6.0, overdue_s + 0.1))
 
-    def test_stage(self) -> None:
+    def test_turn_state(self) -> None:
         absent, waiting = Progress.ABSENT, Progress.WAITING
         loading, loaded = Progress.LOADING, Progress.LOADED
         for ahead, expected in (
@@ -238,7 +238,7 @@
             ((waiting, loading), None),
             ((waiting, waiting), None),
         ):
-            self.assertIs(expected, rollout.stage(ahead), ahead)
+            self.assertIs(expected, rollout.turn_state(ahead), ahead)
 
     def test_winds_down_until_long_runs_have_ended(self) -> None:
         long, short = rollout.LONG_RUN_EVENTS, rollout.LONG_RUN_EVENTS - 1
