--- a/sequoiawind/placement.py
+++ b/sequoiawind/placement.py
@@ -44,13 +44,13 @@
 
 @attrs.frozen(kw_only=True)
 class Choice:
-    """A target to try, and how late the first token may come there."""
+    """A target to try, with its time limit for the first token."""
 
     candidate: Candidate
     max_first_s: float
-    # What placing the request there costs, in seconds; infinite if unknown.
+    # Cost of placing the request there, in seconds; infinite if unknown.
     cost_s: float = 0.0
     # The target refuses if the cost is larger; negative for no such limit.
     max_cost_s: float = -1.0
-    # Whether the target said that it could start at once.
+    # Whether the target reported that it could start immediately.
     is_idle: bool = False
--- a/sequoiawind/placer.py
+++ b/sequoiawind/placer.py
@@ -1,11 +1,12 @@
 """Choosing the targets of a request.
 
-Rendezvous order over the placement key names the home of a prompt and a few
-others.  The home's agent, who knows what is cached and how long the queue is,
-refuses if serving there costs more than it should: the wait plus the time to
-compute what is missing, weighted by the route's patience.  Then the router
-asks the agents of the others as well and takes the cheapest.  Agents that do
-not answer in time come last.
+The first target in rendezvous order over the placement key is the home of a
+prompt.  The home's agent, which knows the cached blocks and the length of the
+queue, refuses if the cost there is over a limit.  The cost is the wait plus the
+time to compute the tokens that are not cached, weighted by the route's
+patience.  After such a refusal the router probes the agents of the next
+targets and takes the target with the lowest cost.  Targets whose agents do not
+answer in time come last.
 """
 
 import math
@@ -32,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class Placed:
-    """Where a request may go, best first."""
+    """The targets that a request may be sent to, best first."""
 
     choices: list[Choice]
     # Returns other targets after the first refused for its cost.
@@ -51,7 +52,7 @@
 
 @attrs.define(kw_only=True)
 class ProbingPlacer:
-    """The placement that ships."""
+    """Places prompts by rendezvous order, probing other targets if needed."""
 
     board: Blackboard
     clock: Clock
@@ -88,7 +89,7 @@
         )
 
     def place_prompt(self, plan: Plan) -> Placed:
-        """Place a prompt at its home, with others to ask if that is dear."""
+        """Place a prompt at its home, with other targets to fall back on."""
         now_s = self.clock.seconds()
         candidates = self.candidates(plan)
         salt = plan.cache_salt
@@ -98,8 +99,8 @@
         )
         holders = min(chosen.holders, plan.policy.max_holders)
         ranked = placement.rank(chosen.key, candidates)
-        # Without others to ask, the home serves at any cost.
-        max_cost_s = self.fair_cost_s(plan) if ranked[1:] else -1.0
+        # If the home is the only candidate, it serves at any cost.
+        max_cost_s = self.home_cost_limit_s(plan) if ranked[1:] else -1.0
         home = [
             Choice(
                 candidate=item,
@@ -109,17 +110,18 @@
             for item in ranked[:1]
         ]
         return Placed(
-            choices=home + unasked(plan, ranked[1:]),
+            choices=home + unprobed(plan, ranked[1:]),
             replan=partial(self.replan, plan, chain, ranked, holders),
             depth=chosen.depth,
             holders=holders,
         )
 
-    def fair_cost_s(self, plan: Plan) -> float:
-        """Return what a prompt may cost at its home without asking others.
+    def home_cost_limit_s(self, plan: Plan) -> float:
+        """Return the cost above which a prompt's home refuses it, in seconds.
 
-        A home that lacks more than a usual question's tokens refuses: the
-        prefix may be warm elsewhere, as after a restart of this router.
+        The home refuses a prompt if more of its tokens are not cached there
+        than a usual question has: the prefix may be cached on another target,
+        as after a restart of this router.
         """
         missing = min(plan.prompt_tokens, defaults.FAIR_MISSING_TOKENS)
         compute_s = missing / defaults.PREFILL_TOKENS_PER_S
@@ -132,40 +134,40 @@
         ranked: list[Candidate],
         holders: int,
         home: Candidate,
-        told: ProbeAnswer,
+        home_answer: ProbeAnswer,
     ) -> Deferred[list[Choice]]:
         """Return the targets of a prompt whose home refused for its cost."""
         others = [item for item in ranked if item.name != home.name]
         count = max(self.probes, holders) - 1
-        asking = self.ask(plan, chain, others[:count])
-        known = self.choice(plan, home, Result.Ok(told))
+        probing = self.probe_targets(plan, chain, others[:count])
+        home_choice = self.choice(plan, home, Result.Ok(home_answer))
 
         def decide(choices: list[Choice]) -> list[Choice]:
             # The sort is stable: equal costs stay in rendezvous order.
-            decided = [known, *choices]
+            decided = [home_choice, *choices]
             decided.sort(key=cost_rank)
-            return in_time(plan, decided) + unasked(plan, others[count:])
+            return in_time(plan, decided) + unprobed(plan, others[count:])
 
-        return asking.addCallback(decide)
+        return probing.addCallback(decide)
 
-    def ask(
-        self, plan: Plan, chain: list[int], asked: Sequence[Candidate]
+    def probe_targets(
+        self, plan: Plan, chain: list[int], probed: Sequence[Candidate]
     ) -> Deferred[list[Choice]]:
-        """Return the targets asked, with their costs."""
+        """Probe targets in parallel and return them with their costs."""
         answers = gatherResults(
-            [self.probe(plan, chain, item) for item in asked]
+            [self.probe(plan, chain, item) for item in probed]
         )
         return answers.addCallback(
-            lambda told: [
+            lambda results: [
                 self.choice(plan, candidate, answer)
-                for candidate, answer in zip(asked, told, strict=True)
+                for candidate, answer in zip(probed, results, strict=True)
             ]
         )
 
     def probe(
         self, plan: Plan, chain: list[int], candidate: Candidate
     ) -> Deferred[ProbeResult]:
-        """Ask one target's agent."""
+        """Probe one target's agent."""
         probe = Probe(
             target=candidate.name,
             account=plan.account.name,
@@ -177,33 +179,33 @@
         )
         answer = self.port.probe(candidate.address, probe)
         timing.with_timeout(answer, defaults.PROBE_TIMEOUT_S, self.clock)
-        return answer.addErrback(no_answer)
+        return answer.addErrback(failed_probe)
 
     def choice(
         self, plan: Plan, candidate: Candidate, answer: ProbeResult
     ) -> Choice:
-        """Return a target with its cost."""
+        """Return a target with the cost that a probe's answer gives."""
         if answer.is_error() or answer.ok.load.draining:
             return Choice(
                 candidate=candidate,
                 max_first_s=defaults.BASE_WAIT_S,
                 cost_s=float("inf"),
             )
-        told = answer.ok
-        self.board.members.report(told.load, self.clock.seconds())
-        missing = max(0, plan.prompt_tokens - told.hit_tokens)
-        compute_s = missing * told.prefill_token_s
+        probe_answer = answer.ok
+        self.board.members.report(probe_answer.load, self.clock.seconds())
+        missing = max(0, plan.prompt_tokens - probe_answer.hit_tokens)
+        compute_s = missing * probe_answer.prefill_token_s
         return Choice(
             candidate=candidate,
-            # Others may have been placed there since the answer.
-            max_first_s=told.wait_s + compute_s + defaults.BASE_WAIT_S,
-            cost_s=told.wait_s + plan.policy.patience * compute_s,
-            is_idle=told.wait_s <= defaults.BASE_WAIT_S,
+            # Leaves room for requests placed there since the answer.
+            max_first_s=probe_answer.wait_s + compute_s + defaults.BASE_WAIT_S,
+            cost_s=probe_answer.wait_s + plan.policy.patience * compute_s,
+            is_idle=probe_answer.wait_s <= defaults.BASE_WAIT_S,
         )
 
 
 def in_time(plan: Plan, choices: list[Choice]) -> list[Choice]:
-    """Leave out the targets that say they cannot start in time."""
+    """Return the choices that can start in time or whose target is idle."""
     limit_s = plan.kind.max_first_s + defaults.BASE_WAIT_S
     return [
         choice
@@ -212,8 +214,8 @@
     ]
 
 
-def unasked(plan: Plan, candidates: Sequence[Candidate]) -> list[Choice]:
-    """Return targets to try if those that were asked refuse."""
+def unprobed(plan: Plan, candidates: Sequence[Candidate]) -> list[Choice]:
+    """Return choices for targets that are not probed, to try last."""
     return [
         Choice(candidate=item, max_first_s=plan.kind.max_first_s)
         for item in candidates[: defaults.WALK_LENGTH]
@@ -221,16 +223,16 @@
 
 
 def cost_rank(choice: Choice) -> float:
-    """Return a target's cost in steps; infinite if it is not known."""
+    """Return a cost in whole steps of `COST_STEP_S`; infinite if unknown."""
     if math.isinf(choice.cost_s):
         return choice.cost_s
     return choice.cost_s // defaults.COST_STEP_S
 
 
-def no_answer(failure: object) -> ProbeResult:
+def failed_probe(failure: object) -> ProbeResult:
     """Return the result of a probe that failed or had no answer in time.
 
-    Whatever broke it, the target's state is not known; that is all.
+    All failures are treated alike: the target's state is unknown.
     """
     error: ProbeResult = Result.Error(
         not_run(Reason.START_TIMEOUT, "no answer to the probe")
--- a/sequoiawind/router.py
+++ b/sequoiawind/router.py
@@ -1,8 +1,9 @@
-"""The router: one caller's request from arrival to its answer.
+"""Handles a caller's request from its arrival to the end of its answer.
 
-It authenticates, matches a route, enforces limits, claims keys of requests
-that must not repeat, chooses the targets and starts an exchange.  It knows
-no transport; ``router_http`` gives it requests and takes its chunks.
+The router authenticates the caller, matches a route, enforces limits, claims
+the idempotency key of a request that must not repeat, chooses the targets and
+starts an exchange.  It does not depend on a transport: ``router_http`` submits
+the requests and receives the chunks of the answers.
 """
 
 import random
@@ -45,7 +46,7 @@
 
 @attrs.define(kw_only=True)
 class Handling:
-    """A request that the router is working on; a sink of its exchange."""
+    """A request in progress; receives the output of its exchange."""
 
     router: "Router"
     plan: Plan
@@ -63,14 +64,14 @@
         self.caller.chunk(data)
 
     def ended(self, ended: Ended) -> None:
-        """End the exchange's part, then the claim's, then the request."""
+        """End the request after its exchange, closing its claim first."""
         if self.claim is None:
             self.finish(ended)
             return
         Deferred.fromCoroutine(self.close_claim(self.claim, ended))
 
     async def close_claim(self, claim: Claim, ended: Ended) -> None:
-        """Record what became of a claimed action, and end the request."""
+        """Record the outcome of a claimed action, then end the request."""
         claimant = self.router.claimant
         if ended.reply is not None:
             claimant.record_outcome(claim, ended.reply)
@@ -81,20 +82,20 @@
         self.finish(ended)
 
     def finish(self, ended: Ended) -> None:
-        """Give the caller the end of the request."""
+        """Pass the end of the request to the caller, once."""
         if self.is_ended:
             return
         self.is_ended = True
         try:
-            self.router.finished(self, ended)
+            self.router.record_end(self, ended)
         finally:
-            # A fault in the accounts must not keep the answer back.
+            # A failure of the accounting must not withhold the answer.
             self.caller.ended(ended)
 
     def cancel(self) -> None:
-        """The caller has gone.
+        """Cancel the request of a caller that has disconnected.
 
-        An action that must not repeat goes on, so that its outcome is
+        An action that must not repeat continues, so that its outcome is
         recorded and a repeat of the request gets it.
         """
         self.is_cancelled = True
@@ -104,7 +105,7 @@
 
 @attrs.define(kw_only=True)
 class Router:
-    """Decides about requests; shared by all connections of a process."""
+    """Accepts requests; shared by all connections of a process."""
 
     board: Blackboard
     around: Surroundings
@@ -128,7 +129,7 @@
     ) -> Result[Handling, Failure]:
         """Start a request, or return why it is refused.
 
-        A refusal is final and proved not to have run.
+        A refusal is final: the request has not run and will not run.
         """
         planned = self.plan(request)
         if planned.is_error():
@@ -158,11 +159,11 @@
             self.start(handling)
         else:
             claiming = Deferred.fromCoroutine(self.claim_and_start(handling))
-            claiming.addErrback(self.broke, handling)
+            claiming.addErrback(self.fail_request, handling)
         return Ok(handling)
 
     def plan(self, request: CallerRequest) -> Result[Plan, Failure]:
-        """Find what the configuration says about a request."""
+        """Look up a request in the configuration, or return a refusal."""
         if self.board.phase.is_closed:
             return Error(
                 not_run(Reason.SHUTTING_DOWN, messages.SHUTTING_DOWN, 1.0)
@@ -225,7 +226,7 @@
         return max(matching, key=lambda item: (len(item.path), item.name))
 
     async def claim_and_start(self, handling: Handling) -> None:
-        """Claim a request's key, and start it if the claim won."""
+        """Claim a request's idempotency key; start the request if it won."""
         request = handling.plan.request
         checked = self.check_key(request)
         if checked.is_error():
@@ -252,31 +253,31 @@
     def start(self, handling: Handling) -> None:
         """Place a request, then start its exchange."""
         placing = self.placer.place(handling.plan)
-        placing.addCallback(self.placed, handling)
-        placing.addErrback(self.broke, handling)
+        placing.addCallback(self.start_exchange, handling)
+        placing.addErrback(self.fail_request, handling)
 
-    def placed(self, placed: Placed, handling: Handling) -> None:
+    def start_exchange(self, placed: Placed, handling: Handling) -> None:
         """Start the exchange of a request that has been placed."""
         handling.note.depth_blocks = placed.depth
         handling.note.holders = placed.holders
         if handling.is_cancelled and handling.plan.is_idempotent:
-            gone = not_run(Reason.CANCELLED, messages.CANCELLED)
-            handling.ended(Ended(failure=gone))
+            cancelled = not_run(Reason.CANCELLED, messages.CANCELLED)
+            handling.ended(Ended(failure=cancelled))
             return
         exchange = self.make_exchange(handling, placed)
         handling.exchange = exchange
         handling.note.path = exchange.path
         exchange.start()
 
-    def broke(self, failure: TwistedFailure, handling: Handling) -> None:
-        """End a request that a fault of the program has stopped."""
-        LOGGER.failure("request stopped", failure)
-        stopped = may_have_run(
+    def fail_request(self, failure: TwistedFailure, handling: Handling) -> None:
+        """End a request after an unexpected exception in this process."""
+        LOGGER.failure("request ended by an internal error", failure)
+        internal_error = may_have_run(
             Reason.INTERNAL_ERROR,
             messages.INTERNAL_ERROR,
             defaults.MIN_RETRY_AFTER_S,
         )
-        handling.ended(Ended(failure=stopped))
+        handling.ended(Ended(failure=internal_error))
 
     def make_exchange(self, handling: Handling, placed: Placed) -> Exchange:
         """Return the exchange of a request."""
@@ -297,7 +298,7 @@
         )
 
     def template(self, plan: Plan) -> Attempt:
-        """Return what every attempt of a request has in common."""
+        """Return an attempt with the fields that all attempts share."""
         request = plan.request
         is_engine = plan.pool.service == "engine"
         return Attempt(
@@ -322,8 +323,8 @@
             idempotency_key=request.idempotency_key or "",
         )
 
-    def finished(self, handling: Handling, ended: Ended) -> None:
-        """Account for the end of a request."""
+    def record_end(self, handling: Handling, ended: Ended) -> None:
+        """Release a request's limits and record how it ended."""
         self.open_requests -= 1
         self.board.limits.release(handling.plan.account.name)
         note = handling.note
@@ -356,7 +357,7 @@
 
 
 def usage_of(chunks: list[bytes]) -> Usage:
-    """Return the usage that the last chunks of an answer carry."""
+    """Return the usage in an answer's last two chunks, or an empty one."""
     for data in reversed(chunks[-2:]):
         usage = openai_format.usage_of(data)
         if usage is not None:
--- a/sequoiawind/sharing.py
+++ b/sequoiawind/sharing.py
@@ -1,11 +1,12 @@
-"""Which prefix a prompt is placed by, and how widely that prefix is held.
+"""Chooses the prefix that a prompt is placed by, and its number of holders.
 
-Too shallow a prefix makes one target hot; too deep a one loses what prompts
-share.  A router keeps decaying counts of the prefixes it has seen lately and
-splits by load: a prompt is placed by the shallowest prefix whose share of the
-traffic one target can carry.  Shares, unlike rates, are the same at every
-router, so routers agree without messages.  A prompt whose deepest shared
-prefix is still too hot is spread over several holders.
+A prefix that is too short overloads one target; one that is too long separates
+prompts that could share cached blocks.  A router keeps decaying counts of the
+prefixes that it has seen recently and splits by load: a prompt is placed by the
+shallowest prefix whose share of the traffic one target can carry.  Shares,
+unlike rates, are the same at every router, so routers agree without messages.
+If even the deepest shared prefix gets more than one target can carry, the
+prompt is spread over several targets, the holders of the prefix.
 
 The counts are a bounded cache: losing them costs cache hits, never
 correctness.
@@ -20,13 +21,13 @@
 
 
 @attrs.define(kw_only=True)
-class Sightings:
+class PrefixCounter:
     """A decaying count of the prompts that contained one prefix."""
 
     count: float
-    # When `count` was last brought up to date, in seconds.
+    # When `count` was last updated, in seconds.
     updated_s: float
-    # Whether the prefix is too hot for one target.
+    # Whether the prefix has more load than one target can carry.
     is_split: bool = False
     # Targets that should hold the prefix.
     holders: int = 1
@@ -51,14 +52,15 @@
     # Share of one target's fair load that one prefix may have.
     split_share: float = defaults.SPLIT_SHARE
     hysteresis: float = defaults.SPLIT_HYSTERESIS
-    # Prompts assumed beside those seen, so that the first few look cold.
+    # Prompts added to the total, so that the first few do not make a prefix
+    # look overloaded.
     prior: float = defaults.SHARING_PRIOR
     max_holders: int = defaults.MAX_HOLDERS
     capacity: int = defaults.PREFIX_COUNTERS
-    prefixes: OrderedDict[int, Sightings] = attrs.field(factory=OrderedDict)
-    # All prompts.
-    total: Sightings = attrs.field(
-        factory=lambda: Sightings(count=0.0, updated_s=0.0)
+    prefixes: OrderedDict[int, PrefixCounter] = attrs.field(factory=OrderedDict)
+    # Counts all prompts.
+    total: PrefixCounter = attrs.field(
+        factory=lambda: PrefixCounter(count=0.0, updated_s=0.0)
     )
 
     def choose(
@@ -83,60 +85,62 @@
         total = self.decayed(self.total, now_s) + self.prior
         deepest = 0
         for depth, key in enumerate(chain, 1):
-            seen = self.prefixes[key]
-            count = self.decayed(seen, now_s)
-            if not self.update_split(seen, count / total, limit):
+            counter = self.prefixes[key]
+            count = self.decayed(counter, now_s)
+            if not self.update_split(counter, count / total, limit):
                 return PlacementKey(key=key, depth=depth, holders=1)
             deepest = depth
-        seen = self.prefixes[chain[deepest - 1]]
-        share = self.decayed(seen, now_s) / total
-        holders = self.update_holders(seen, share, limit)
+        counter = self.prefixes[chain[deepest - 1]]
+        share = self.decayed(counter, now_s) / total
+        holders = self.update_holders(counter, share, limit)
         return PlacementKey(
             key=chain[deepest - 1], depth=deepest, holders=holders
         )
 
     def record(self, chain: list[int], now_s: float) -> None:
-        """Count one prompt."""
-        self.add(self.total, now_s)
+        """Count one prompt in the total and in each of its prefixes."""
+        self.increment(self.total, now_s)
         for key in chain:
-            seen = self.prefixes.get(key)
-            if seen is None:
-                self.prefixes[key] = Sightings(count=1.0, updated_s=now_s)
+            counter = self.prefixes.get(key)
+            if counter is None:
+                self.prefixes[key] = PrefixCounter(count=1.0, updated_s=now_s)
                 continue
-            self.add(seen, now_s)
+            self.increment(counter, now_s)
             self.prefixes.move_to_end(key)
         while len(self.prefixes) > self.capacity:
             self.prefixes.popitem(last=False)
 
-    def add(self, seen: Sightings, now_s: float) -> None:
-        """Count one prompt in one counter."""
-        seen.count = self.decayed(seen, now_s) + 1.0
-        seen.updated_s = now_s
+    def increment(self, counter: PrefixCounter, now_s: float) -> None:
+        """Add one prompt to a counter."""
+        counter.count = self.decayed(counter, now_s) + 1.0
+        counter.updated_s = now_s
 
-    def update_split(self, seen: Sightings, share: float, limit: float) -> bool:
-        """Return whether a prefix is too hot for one target.
+    def update_split(
+        self, counter: PrefixCounter, share: float, limit: float
+    ) -> bool:
+        """Return whether a prefix has more load than one target can carry.
 
         Hysteresis keeps a share near the limit from moving the prefix back
         and forth, which would recompute it each time.
         """
-        if seen.is_split:
-            seen.is_split = share > limit * self.hysteresis
+        if counter.is_split:
+            counter.is_split = share > limit * self.hysteresis
         else:
-            seen.is_split = share > limit
-        return seen.is_split
+            counter.is_split = share > limit
+        return counter.is_split
 
     def update_holders(
-        self, seen: Sightings, share: float, limit: float
+        self, counter: PrefixCounter, share: float, limit: float
     ) -> int:
-        """Widen or narrow a prefix by its share and return its holders."""
+        """Adjust the number of a prefix's holders to its share; return it."""
         wanted = min(self.max_holders, math.ceil(share / limit))
-        if wanted > seen.holders:
-            seen.holders = wanted
-        elif share < limit * (seen.holders - 1) * self.hysteresis:
-            seen.holders -= 1
-        return max(1, seen.holders)
-
-    def decayed(self, seen: Sightings, now_s: float) -> float:
-        """Return a count as of now."""
-        age_s = max(0.0, now_s - seen.updated_s)
-        return seen.count * math.exp(-age_s / self.window_s)
+        if wanted > counter.holders:
+            counter.holders = wanted
+        elif share < limit * (counter.holders - 1) * self.hysteresis:
+            counter.holders -= 1
+        return max(1, counter.holders)
+
+    def decayed(self, counter: PrefixCounter, now_s: float) -> float:
+        """Return a count decayed to the current time."""
+        age_s = max(0.0, now_s - counter.updated_s)
+        return counter.count * math.exp(-age_s / self.window_s)
