--- a/sequoiawind/admission.py
+++ b/sequoiawind/admission.py
@@ -3,7 +3,7 @@
 The queue is start-time fair queueing over client accounts (Goyal, Vin and
 Cheng, 1996).  A kind's priority multiplies the account's weight, so a higher
 priority gets a larger share without starving the rest.  Work is refused
-early, as not run, when its wait would be longer than it may wait.
+early, as not run, when its estimated wait is longer than its limit.
 """
 
 import heapq
@@ -18,7 +18,7 @@
 NEUTRAL_PRIORITY: Final = 5
 # Cost of one request beyond its tokens, in tokens.
 REQUEST_COST_TOKENS: Final = 64
-# How much longer than allowed a job may wait before it is refused; below
+# Time over its limit that a queued job may wait before it is refused.  Up to
 # this, the estimate made at its admission stands.
 OVERDUE_SLACK_S: Final = 0.1
 
@@ -38,7 +38,8 @@
     # Longest acceptable wait, in seconds.
     max_wait_s: float
     start: Callable[[], None]
-    # The job that computes a prefix of this one's prompt; it goes first.
+    # Name of the job that computes a prefix of this one's prompt; this job
+    # starts after that one's first token.
     after: str = ""
     enqueued_s: float = 0.0
     start_tag: float = 0.0
@@ -58,7 +59,7 @@
 
 @attrs.define(kw_only=True)
 class FairQueue:
-    """Decides which job starts next, and which is refused."""
+    """Decides which job starts next and which are refused."""
 
     max_running: int = defaults.MAX_RUNNING
     max_queue: int = defaults.MAX_QUEUE
@@ -100,7 +101,7 @@
         return None
 
     def tag(self, job: Job) -> None:
-        """Set the start and finish tags that a job would get now."""
+        """Set the start and finish tags of a job that is queued now."""
         last_tag = self.last_tags.get(job.account, 0.0)
         boost = 2.0 ** (job.priority - NEUTRAL_PRIORITY)
         share = max(job.weight, 1e-6) * boost
@@ -111,7 +112,7 @@
         """Estimate how long a job with a finish tag would wait to start.
 
         Args:
-          finish_tag: Later than all queued jobs if left out.
+          finish_tag: The default is behind all queued jobs.
 
         Returns:
           Seconds until the target would begin the job.
@@ -139,7 +140,7 @@
         )
 
     def start_ready(self, now_s: float) -> None:
-        """Start queued jobs as far as the target has room."""
+        """Start queued jobs while the target has room for them."""
         held_back: list[tuple[float, int, Job]] = []
         while self.heap and len(self.running) < self.max_running:
             entry = heapq.heappop(self.heap)
@@ -160,9 +161,9 @@
             self.virtual_time = 0.0
 
     def is_blocked(self, job: Job) -> bool:
-        """Whether the job that computes this one's prefix is not done.
+        """Whether another job has yet to compute this one's prefix.
 
-        Started together, both would compute it.
+        If both started together, both would compute the prefix.
         """
         if job.after in self.waiting:
             return True
@@ -177,7 +178,7 @@
         return in_prefill + job.prefill_tokens <= self.max_prefill_ahead
 
     def begin(self, job: Job, now_s: float) -> None:
-        """Give a queued job a slot."""
+        """Start a queued job in a free slot."""
         self.queued -= 1
         self.waiting.discard(job.name)
         self.virtual_time = max(self.virtual_time, job.start_tag)
@@ -185,8 +186,8 @@
         self.running[job.name] = job
         job.start()
 
-    def first_token(self, name: str) -> None:
-        """Note that the target has computed a job's prompt."""
+    def mark_prefilled(self, name: str) -> None:
+        """Record that the target has computed a job's prompt."""
         job = self.running.get(name)
         if job is not None:
             job.prefilled = True
@@ -199,7 +200,7 @@
             self.slot_time_s += 0.1 * (held_s - self.slot_time_s)
 
     def withdraw(self, job: Job) -> bool:
-        """Take a job out of the queue; whether it was still queued."""
+        """Remove a job from the queue; return whether it was still queued."""
         if job.started_s >= 0.0 or job.cancelled:
             return False
         job.cancelled = True
@@ -207,7 +208,7 @@
         self.waiting.discard(job.name)
         return True
 
-    def overdue(self, now_s: float) -> list[Job]:
+    def withdraw_overdue(self, now_s: float) -> list[Job]:
         """Withdraw and return the jobs that have waited too long."""
         late = [
             job
--- a/sequoiawind/agent.py
+++ b/sequoiawind/agent.py
@@ -50,7 +50,7 @@
             self.agent.on_event("foreign_chunk")
             return
         if not self.chunks:
-            self.agent.first_token(attempt_id)
+            self.agent.on_first_token(attempt_id)
         self.chunks[index] = data
         if self.sink is not None:
             self.sink.chunk(attempt_id, index, data)
@@ -285,9 +285,9 @@
         # The next start waits until the end has been passed on.
         self.clock.callLater(0, self.start_ready)
 
-    def first_token(self, attempt_id: str) -> None:
+    def on_first_token(self, attempt_id: str) -> None:
         """Note that a prompt is computed; others may wait for its prefix."""
-        self.queue.first_token(attempt_id)
+        self.queue.mark_prefilled(attempt_id)
         self.clock.callLater(0, self.start_ready)
 
     def start_ready(self) -> None:
@@ -378,7 +378,7 @@
     def tick(self) -> None:
         """Refuse the attempts that have waited longer than allowed."""
         now_s = self.clock.seconds()
-        for job in self.queue.overdue(now_s):
+        for job in self.queue.withdraw_overdue(now_s):
             relay = self.relays.get(job.name)
             if relay is not None:
                 wait_s = self.queue.wait_s()
--- a/sequoiawind/cache_index.py
+++ b/sequoiawind/cache_index.py
@@ -1,9 +1,9 @@
 """An agent's index of the blocks that its engine has cached.
 
-The index follows the engine's cache events, which come late and with gaps.
-It belongs to one incarnation of the engine: a restart empties it at once.  A
-gap may have hidden evictions, so the index is refreshed from the engine's
-own list; until then nothing is promised from it.
+The index follows the engine's cache events, which may be late or missing.
+It belongs to one incarnation of the engine: a restart empties it immediately.
+Evictions may be among the missing events, so after a gap the index is replaced
+by the engine's own list; until then it reports no hits.
 """
 
 from collections.abc import Iterable, Sequence
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class CacheEvents:
-    """Consecutive events, as an engine gives them."""
+    """A batch of consecutive events of an engine."""
 
     incarnation: str
     events: tuple[CacheEvent, ...] = ()
@@ -39,12 +39,12 @@
 
 
 @attrs.frozen(kw_only=True)
-class Expectation:
-    """A block that the engine is computing, or will be."""
+class ExpectedBlock:
+    """A block that the engine is computing or is going to compute."""
 
-    # When to stop counting on it, in seconds.
+    # Last time at which the block counts as a hit, in seconds.
     until_s: float
-    # The attempt that computes it.
+    # Id of the attempt that computes it.
     owner: str
 
 
@@ -55,14 +55,14 @@
     incarnation: str = ""
     next_sequence: int = 0
     blocks: set[int] = attrs.field(factory=set)
-    # Blocks of prompts under way.
-    expected: dict[int, Expectation] = attrs.field(factory=dict)
+    # Blocks that are being computed, or will be, for admitted prompts.
+    expected: dict[int, ExpectedBlock] = attrs.field(factory=dict)
     # Whether a gap has made the index unreliable.
     needs_resync: bool = False
     gaps: int = 0
 
     def apply(self, batch: CacheEvents) -> None:
-        """Take in events; those known already are passed over."""
+        """Apply a batch of events, skipping those already applied."""
         if batch.incarnation != self.incarnation:
             self.reset(batch.incarnation)
         for event in batch.events:
@@ -86,7 +86,7 @@
         self.needs_resync = False
 
     def reset(self, incarnation: str) -> None:
-        """Forget everything: the engine has restarted empty."""
+        """Clear the index: the engine has restarted with an empty cache."""
         self.incarnation = incarnation
         self.next_sequence = 0
         self.blocks = set()
@@ -94,43 +94,46 @@
         self.needs_resync = False
 
     def expect(self, chain: Iterable[int], until_s: float, owner: str) -> None:
-        """Count on the blocks of a prompt that the engine is to compute.
+        """Record the blocks that the engine will compute for a prompt.
 
-        The first attempt that computes a block stays its owner.
+        They count as hits until `until_s`.  The first attempt to compute a
+        block remains its owner.
         """
         for block in chain:
             if block not in self.blocks and block not in self.expected:
-                self.expected[block] = Expectation(until_s=until_s, owner=owner)
+                self.expected[block] = ExpectedBlock(
+                    until_s=until_s, owner=owner
+                )
 
     def owner_of(self, chain: Sequence[int], hits: int) -> str:
-        """Return the attempt that computes the last block hit; or nothing."""
+        """Return the attempt computing the last hit block; empty if none."""
         if hits == 0 or chain[hits - 1] in self.blocks:
             return ""
-        expectation = self.expected.get(chain[hits - 1])
-        return expectation.owner if expectation else ""
+        expected_block = self.expected.get(chain[hits - 1])
+        return expected_block.owner if expected_block else ""
 
     def hit_blocks(self, chain: Sequence[int], now_s: float) -> int:
-        """Return how many leading blocks of a chain are cached."""
+        """Return how many leading blocks of a chain are cached or expected."""
         for depth, block in enumerate(chain):
             if not self.has(block, now_s):
                 return depth
         return len(chain)
 
     def has(self, block: int, now_s: float) -> bool:
-        """Whether a block is cached, or will be soon."""
+        """Whether a block is cached, or expected to be soon."""
         if self.needs_resync:
             return False
         if block in self.blocks:
             return True
-        expectation = self.expected.get(block)
-        return expectation is not None and expectation.until_s >= now_s
+        expected_block = self.expected.get(block)
+        return expected_block is not None and expected_block.until_s >= now_s
 
     def forget_expected(self, now_s: float) -> None:
-        """Drop expectations that have not come true."""
-        late = [
+        """Remove expected blocks that have not been stored in time."""
+        expired = [
             block
-            for block, expectation in self.expected.items()
-            if expectation.until_s < now_s
+            for block, expected_block in self.expected.items()
+            if expected_block.until_s < now_s
         ]
-        for block in late:
+        for block in expired:
             del self.expected[block]
--- a/sequoiawind/limits.py
+++ b/sequoiawind/limits.py
@@ -1,12 +1,12 @@
 """Request rate and concurrency limits by client account.
 
 Each router admits its share of an account's limit.  Shares follow demand:
-routers tell each other the demand they see, and a router's share is its part
+routers send each other the demand they see, and a router's share is its part
 of the sum.  With ``n`` routers the sum of the shares is at most 1 while all
-hear each other; after a change of demand the excess lasts until the next
-exchange, so an account can exceed its rate by at most the limit times the
-share that moved, for one exchange period.  Demand below a tenth of a router's
-equal part is not told, which adds at most a tenth to the bound.
+receive each other's demand; after a change of demand the excess lasts until
+the next exchange, so an account can exceed its rate by at most the limit times
+the share that moved, for one exchange period.  Demand below a tenth of a
+router's equal part is not sent, which adds at most a tenth to the bound.
 """
 
 from collections.abc import Mapping
@@ -19,16 +19,16 @@
 from sequoiawind.verdict import Failure, Reason, not_run
 
 # Requests a second below which an account's usage is dropped.
-FORGOTTEN_DEMAND: Final = 0.01
+MIN_TRACKED_DEMAND: Final = 0.01
 
 
 @attrs.define(kw_only=True)
-class Usage:
-    """What one account uses at one router."""
+class AccountUsage:
+    """The requests and the demand of one account at one router."""
 
-    # Requests that may start now.
+    # Token bucket: requests that may start now.
     tokens: float
-    # When `tokens` was last brought up to date, in seconds.
+    # When `tokens` was last updated, in seconds.
     updated_s: float
     open_requests: int = 0
     # Requests seen since the last exchange, admitted or not.
@@ -41,9 +41,9 @@
 
 @attrs.define(kw_only=True)
 class PeerDemand:
-    """The demand last heard from another router."""
+    """The demand last received from another router."""
 
-    heard_s: float
+    received_s: float
     demand: Mapping[str, float]
 
 
@@ -52,7 +52,7 @@
     """Enforces the limits of all accounts at one router."""
 
     period_s: float = defaults.LIMIT_SHARE_PERIOD_S
-    usage: dict[str, Usage] = attrs.field(factory=dict)
+    usage: dict[str, AccountUsage] = attrs.field(factory=dict)
     peers: dict[str, PeerDemand] = attrs.field(factory=dict)
     # Routers in the settings, this one included.
     routers: int = 1
@@ -60,7 +60,7 @@
     def admit(self, account: Account, now_s: float) -> Failure | None:
         """Admit a request, or return why it is refused.
 
-        An admitted request must be ended with `release`.
+        The caller must call `release` when an admitted request ends.
         """
         usage = self.refill(account, now_s)
         usage.seen += 1
@@ -87,18 +87,18 @@
         return None
 
     def release(self, account: str) -> None:
-        """End a request that was admitted."""
+        """Record the end of an admitted request."""
         usage = self.usage.get(account)
         if usage is not None and usage.open_requests > 0:
             usage.open_requests -= 1
 
-    def refill(self, account: Account, now_s: float) -> Usage:
-        """Return an account's usage with the tokens due by now."""
+    def refill(self, account: Account, now_s: float) -> AccountUsage:
+        """Return an account's usage after refilling its token bucket."""
         usage = self.usage.get(account.name)
         rate = account.rate_per_s * self.share(account.name, now_s)
         burst = max(1.0, rate)
         if usage is None:
-            usage = Usage(tokens=burst, updated_s=now_s)
+            usage = AccountUsage(tokens=burst, updated_s=now_s)
             self.usage[account.name] = usage
         usage.rate_per_s = account.rate_per_s
         elapsed_s = max(0.0, now_s - usage.updated_s)
@@ -107,54 +107,55 @@
         return usage
 
     def share(self, account: str, now_s: float) -> float:
-        """Return the part of an account's limit that this router gives.
+        """Return this router's share of an account's limit, from 0 to 1.
 
-        A router that has heard nobody lately takes an equal part, so that a
-        partition or a herd of restarts cannot multiply the limit.
+        Without recent demand from every other router the share is an equal
+        part, so that a partition or many restarts at the same time cannot
+        multiply the limit.
         """
-        heard = self.heard_demand(account, now_s)
+        others = self.peer_demand(account, now_s)
         usage = self.usage.get(account)
-        mine = usage.demand if usage else 0.0
+        own_demand = usage.demand if usage else 0.0
         equal = 1.0 / max(1, self.routers)
-        if heard is None:
+        if others is None:
             return equal
-        total = mine + heard
+        total = own_demand + others
         if total <= 0.0:
             return equal
-        # A floor lets a router without demand yet admit its first requests.
+        # The floor lets a router that has no demand yet admit first requests.
         floor = equal * 0.1
-        return floor + (1.0 - floor * self.routers) * mine / total
+        return floor + (1.0 - floor * self.routers) * own_demand / total
 
-    def heard_demand(self, account: str, now_s: float) -> float | None:
-        """Return the demand of the other routers; None if one is silent."""
+    def peer_demand(self, account: str, now_s: float) -> float | None:
+        """Return the other routers' demand; None if one's is missing or old."""
         if len(self.peers) < self.routers - 1:
             return None
         total = 0.0
         for peer in self.peers.values():
-            if now_s - peer.heard_s > 5 * self.period_s:
+            if now_s - peer.received_s > 5 * self.period_s:
                 return None
             total += peer.demand.get(account, 0.0)
         return total
 
     def exchange(self) -> dict[str, float]:
-        """End a period and return the demand by account to tell peers."""
-        told: dict[str, float] = {}
+        """End a period; return the demand by account to send to peers."""
+        reported: dict[str, float] = {}
         for name, usage in list(self.usage.items()):
             rate = usage.seen / self.period_s
             usage.demand += 0.5 * (rate - usage.demand)
             usage.seen = 0
-            if usage.demand > self.telling(usage):
-                told[name] = round(usage.demand, 2)
-            if usage.demand < FORGOTTEN_DEMAND and not usage.open_requests:
+            if usage.demand > self.report_threshold(usage):
+                reported[name] = round(usage.demand, 2)
+            if usage.demand < MIN_TRACKED_DEMAND and not usage.open_requests:
                 del self.usage[name]
-        hottest = sorted(told, key=told.__getitem__, reverse=True)
+        hottest = sorted(reported, key=reported.__getitem__, reverse=True)
         kept = hottest[: defaults.MAX_TOLD_ACCOUNTS]
-        return {name: told[name] for name in kept}
+        return {name: reported[name] for name in kept}
 
-    def telling(self, usage: Usage) -> float:
-        """Return the demand from which peers are told of an account.
+    def report_threshold(self, usage: AccountUsage) -> float:
+        """Return the demand above which an account is reported to peers.
 
-        Below it an account is far from its limit, and telling would cost
+        Below it an account is far from its limit, and reporting it would cost
         more than it helps.
         """
         equal = usage.rate_per_s / max(1, self.routers)
@@ -163,5 +164,5 @@
     def hear(
         self, router: str, demand: Mapping[str, float], now_s: float
     ) -> None:
-        """Take in what another router told."""
-        self.peers[router] = PeerDemand(heard_s=now_s, demand=demand)
+        """Store the demand that another router has sent."""
+        self.peers[router] = PeerDemand(received_s=now_s, demand=demand)
--- a/sequoiawind/prefix.py
+++ b/sequoiawind/prefix.py
@@ -16,7 +16,7 @@
 
 
 def cache_salt(account: str, model: str, adapter: str, version: str) -> str:
-    """Return the salt that keeps apart what must not share cache blocks."""
+    """Return the salt that separates prompts that must not share blocks."""
     joined = _SEPARATOR.join((account, model, adapter, version))
     return f"{xxh3_64_intdigest(joined.encode()):016x}"
 
@@ -49,5 +49,5 @@
 
 
 def tokens(text: bytes) -> int:
-    """Return the number of tokens in a text, as the system counts them."""
+    """Return the number of tokens in a text, estimated from its bytes."""
     return -(-len(text) // defaults.BYTES_PER_TOKEN)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -389,7 +389,7 @@
             queue.offer(job, 0.0)
         queue.start_ready(0.0)
         self.assertEqual({"a", "c"}, set(queue.running))
-        queue.first_token("a")
+        queue.mark_prefilled("a")
         queue.start_ready(0.1)
         self.assertEqual({"a", "b", "c"}, set(queue.running))
 
