--- a/sequoiawind/chunk_order.py
+++ b/sequoiawind/chunk_order.py
@@ -1,8 +1,8 @@
-"""Putting the chunks of an answer in order.
+"""Puts the chunks of an answer in order.
 
-Chunks may arrive late, crossed or twice, and an answer may go on from another
-target.  Only the next chunk is passed on; later ones wait, known ones are
-dropped.
+Chunks may arrive late, out of order or twice, and an answer may be continued by
+another target.  Only the next chunk is passed on; later ones wait, repeated
+ones are dropped.
 """
 
 import attrs
@@ -18,7 +18,7 @@
     request_id: str = ""
     # Index of the chunk to pass on next.
     expected: int = 0
-    # Chunks that arrived before an earlier one.
+    # Chunks by index that arrived before an earlier one.
     early: dict[int, bytes] = attrs.field(factory=dict)
     # Chunks passed on, in order.
     passed: list[bytes] = attrs.field(factory=list)
@@ -26,7 +26,7 @@
     is_whole: bool = False
 
     def take(self, index: int, data: bytes) -> list[bytes]:
-        """Take a chunk and return those to pass on now, in order."""
+        """Accept a chunk and return those to pass on now, in order."""
         if index < self.expected or index in self.early:
             self.duplicates += 1
             return []
@@ -41,7 +41,7 @@
         return ready
 
     def pass_on(self, index: int, data: bytes) -> bytes:
-        """Count a chunk as passed on."""
+        """Record a chunk as passed on and return it."""
         invariants.next_chunk(len(self.passed), index, self.request_id)
         self.passed.append(data)
         self.expected = index + 1
@@ -50,9 +50,9 @@
 
     @property
     def known(self) -> int:
-        """Chunks that have arrived, in order or not."""
+        """The number of chunks that have arrived, in order or not."""
         return self.expected + len(self.early)
 
     def forget_early(self) -> None:
-        """Drop chunks that wait; the answer goes on from `expected`."""
+        """Drop the waiting chunks; a new attempt starts at `expected`."""
         self.early.clear()
--- a/sequoiawind/claimant.py
+++ b/sequoiawind/claimant.py
@@ -1,9 +1,9 @@
 """Running an action at most once: claim the key, send, record the outcome.
 
 Only the process whose claim is first in the log sends, and it sends once.  A
-claim whose fate could not be read back is abandoned: nothing is sent, and a
-release follows through the outbox, which also voids a claim that reaches the
-log late.
+claim that could not be read back is abandoned: nothing is sent, and a release
+is appended through the outbox, which also voids a claim that reaches the log
+late.
 """
 
 import random
@@ -20,12 +20,14 @@
 from sequoiawind.verdict import Failure, Reason, may_have_run, not_run
 from sequoiawind.wire import Reply
 
-SPENT: Failure = not_run(Reason.CLAIM_EXPIRED, messages.CLAIM_EXPIRED, 1.0)
+EXPIRED_CLAIM: Failure = not_run(
+    Reason.CLAIM_EXPIRED, messages.CLAIM_EXPIRED, 1.0
+)
 
 
 @attrs.define(kw_only=True)
 class ClaimStream:
-    """One claim stream: its fold, its appends and its readers."""
+    """One claim stream: its table, its pending appends and its readers."""
 
     name: str
     log: LogPort
@@ -34,23 +36,23 @@
     table: ClaimTable = attrs.field(factory=ClaimTable)
     appender: GroupAppender = attrs.field(init=False)
     outbox: Outbox = attrs.field(init=False)
-    # The read under way, and those waiting for the one after it.
+    # Whether a read is in progress, and the callers that wait for the next.
     reading: bool = False
     next_readers: list[Deferred[Result[int, Failure]]] = attrs.field(
         factory=list
     )
 
     def __attrs_post_init__(self) -> None:
-        """Make the appender and the outbox of this stream."""
+        """Create the appender and the outbox of this stream."""
         self.appender = GroupAppender(log=self.log, stream=self.name)
         self.outbox = Outbox(
             appender=self.appender, clock=self.clock, random=self.random
         )
 
     def catch_up(self) -> Deferred[Result[int, Failure]]:
-        """Fold all that the log held when this was called.
+        """Fold all records that the log holds at the time of the call.
 
-        Callers that ask while a read is under way share the next one.
+        Calls made while a read is in progress share the next one.
 
         Returns:
           The offset of the next record, or why the log was not read.
@@ -62,7 +64,7 @@
         return done
 
     async def read_rounds(self) -> None:
-        """Read for the waiting callers until none waits."""
+        """Read the stream until no caller is waiting."""
         self.reading = True
         while self.next_readers:
             readers, self.next_readers = self.next_readers, []
@@ -86,8 +88,9 @@
     def fold_page(self, page: LogPage) -> None:
         """Fold the records of a page.
 
-        Records lost to the retention are older than any key that is still
-        accepted, so a reader that fell behind goes on at the oldest.
+        Records dropped by the log's retention are older than any key that is
+        still accepted, so a reader that fell behind continues at the oldest
+        record.
         """
         for record in page.records:
             if record.offset >= self.table.next_offset:
@@ -98,7 +101,7 @@
 
 @attrs.define(kw_only=True)
 class Claimant:
-    """Claims keys for one process and records what became of them."""
+    """Claims keys for one process and records the outcomes."""
 
     log: LogPort
     clock: Clock
@@ -137,14 +140,15 @@
         )
 
     async def acquire(self, claim: Claim) -> Result[Reply | None, Failure]:
-        """Win the right to send, or learn the answer of an earlier request.
+        """Claim the right to send, or return an earlier request's reply.
 
         Args:
           claim: A claim made by `make_claim`.
 
         Returns:
-          None if this claim won and must now be sent or released; the reply
-          of the request that had this key before; or a failure.
+          None if this claim won: the action must now be sent, or the claim
+          released; the reply of an earlier request with this key; or a
+          failure.
         """
         stream = self.stream(claim.key)
         if claim.key in stream.table.entries:
@@ -167,12 +171,12 @@
         if entry.claim.claim_id != claim.claim_id:
             self.on_step("lost")
             if appended.is_error():
-                # It may reach the log after the winner's release.
+                # This claim may still reach the log after the winner's release.
                 self.abandon(claim)
             return repeat_answer(entry, claim)
         if self.clock.seconds() - began_s > defaults.CLAIM_SEND_WINDOW_S:
             self.abandon(claim)
-            return Error(SPENT)
+            return Error(EXPIRED_CLAIM)
         self.on_step("won")
         invariants.claim_won(claim.key, claim.claim_id, entry)
         return Ok(None)
@@ -183,10 +187,11 @@
         claim: Claim,
         appended: Result[int, Failure],
     ) -> bool:
-        """Read until the claim's place in the stream is known.
+        """Read the stream back after the claim was appended.
 
         Returns:
-          Whether it is known that the claim reached the log.
+          True if the stream was read, and the append succeeded or the key has
+          a holder.
         """
         for _ in range(defaults.CLAIM_READ_ATTEMPTS):
             result = await stream.catch_up()
@@ -199,15 +204,15 @@
         return False
 
     def abandon(self, claim: Claim) -> None:
-        """Give up a claim that was never sent; the log learns of it."""
+        """Give up a claim whose action was not sent, and release it."""
         self.on_step("abandoned")
         self.put(claim.key, Release(claim_id=claim.claim_id, key=claim.key))
 
     async def release(self, claim: Claim) -> None:
         """Release a claim after proof that nothing was sent.
 
-        Returns when the log has the release, or has failed once; then the
-        outbox goes on.
+        Returns when the log has the release.  If the first append fails,
+        returns after it and leaves further ones to the outbox.
         """
         self.on_step("released")
         stream = self.stream(claim.key)
@@ -234,7 +239,7 @@
 
     @property
     def pending(self) -> int:
-        """Records that the log has not taken yet."""
+        """The number of records that the log has not accepted yet."""
         return sum(stream.outbox.pending for stream in self.streams.values())
 
 
@@ -258,7 +263,7 @@
 
 
 def log_down() -> Failure:
-    """Return the refusal of a claim that the log did not take."""
+    """Return the refusal of a claim that did not reach the log."""
     return not_run(
         Reason.LOG_UNAVAILABLE,
         messages.LOG_UNAVAILABLE,
--- a/sequoiawind/claims.py
+++ b/sequoiawind/claims.py
@@ -1,8 +1,8 @@
-"""Claims of idempotency keys, as a fold over a claim stream.
+"""Claims of idempotency keys, computed by folding a claim stream.
 
-The first claim of a key in offset order wins it for good, unless its own
-claimant releases it.  There is no lease and no takeover: a claimant that was
-paused can be late but never second.
+The first claim of a key in offset order holds the key permanently, unless its
+own claimant releases it.  There is no lease and no takeover: a claimant that
+was paused may be late, but its key has not passed to another claim.
 """
 
 import hashlib
@@ -15,8 +15,8 @@
 
 from sequoiawind import defaults, wire
 
-# How long releases are remembered, by the log's clock: a claim cannot be
-# accepted for longer.
+# How long releases are kept, by the log's clock: a claim cannot be accepted
+# for longer.
 RELEASE_KEPT_S: Final = defaults.KEY_MAX_AGE_S + defaults.KEY_MAX_SKEW_S
 
 
@@ -31,15 +31,15 @@
     digest: str
     kind: str
     owner: str
-    # Time by the log from which the claim is void: then the log may have
-    # dropped an earlier claim of the key.
+    # Log time after which the claim is void: by then the log may have dropped
+    # an earlier claim of the key.
     valid_until_s: float
     request_id: str = ""
 
 
 @attrs.frozen(kw_only=True)
 class Release:
-    """The claimant's proof that it has not sent and never will."""
+    """A claimant's statement that it has not sent the action and never will."""
 
     claim_id: str
     key: str
@@ -47,7 +47,7 @@
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What became of the action."""
+    """The outcome of an action."""
 
     claim_id: str
     key: str
@@ -79,7 +79,7 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimRecord:
-    """A claim node as it stands in its stream."""
+    """The stored form of a claim node: its verb and its fields."""
 
     verb: str
     body: dict[str, object]
@@ -88,7 +88,7 @@
 
 @attrs.define(kw_only=True)
 class Entry:
-    """What is known of one key."""
+    """The state of one key in a claim stream."""
 
     claim: Claim
     offset: int
@@ -103,14 +103,14 @@
 
     @property
     def is_stuck(self) -> bool:
-        """Whether only an operator can say what became of the key."""
+        """Whether only an operator can settle the key's unknown outcome."""
         unknown = self.outcome is not None and not self.outcome.known
         return unknown and self.settled is None
 
 
 @attrs.define(kw_only=True)
 class ClaimTable:
-    """The fold of one claim stream."""
+    """The state that results from folding one claim stream."""
 
     next_offset: int = 0
     # Keys in the order in which they were claimed.
@@ -119,7 +119,7 @@
     released: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
 
     def fold(self, offset: int, time_s: float, data: str) -> None:
-        """Take in one more record; skip one that cannot be read."""
+        """Apply the next record; skip one that cannot be decoded."""
         self.next_offset = offset + 1
         self.expire(time_s)
         node = parse_node(data)
@@ -127,7 +127,7 @@
             apply(node, self, offset, time_s)
 
     def expire(self, now_s: float) -> None:
-        """Forget claims whose keys are refused for their age."""
+        """Remove claims of keys that are too old, and old releases."""
         while self.entries:
             entry = next(iter(self.entries.values()))
             if entry.claim.valid_until_s >= now_s:
@@ -142,7 +142,7 @@
 
 
 def parse_node(data: str) -> ClaimNode | None:
-    """Return the node in a record, or None if no process can read it."""
+    """Return the node in a record, or None if its form is unknown."""
     try:
         record = wire.decode(data, ClaimRecord)
         kind = NODES.get(record.verb)
@@ -161,8 +161,8 @@
 
 @singledispatch
 def apply(node: object, table: ClaimTable, offset: int, time_s: float) -> None:
-    """Change a table by one node."""
-    raise TypeError(f"no rule for {type(node).__name__}")
+    """Apply one node to a table."""
+    raise TypeError(f"cannot apply a node of type {type(node).__name__}")
 
 
 @apply.register
@@ -207,6 +207,6 @@
 
 
 def request_digest(method: str, path: str, body: str) -> str:
-    """Return a digest that tells different requests of one key apart."""
+    """Return a digest that distinguishes requests sent with one key."""
     joined = "\x1f".join((method, path, body))
     return hashlib.sha256(joined.encode()).hexdigest()
--- a/sequoiawind/exchange.py
+++ b/sequoiawind/exchange.py
@@ -1,9 +1,9 @@
-"""One request of one caller, through as many attempts as it takes.
+"""Carries out one caller's request, in one or more attempts.
 
-An exchange walks the targets in placement order, passes the chunks of the
-answer on in order, resumes or continues a broken answer, and ends exactly
-once: with the whole answer, or with a failure whose verdict covers all its
-attempts.
+An exchange tries the targets in placement order, passes the chunks of the
+answer on in order, resumes a broken answer at its agent or continues it at
+another target, and ends exactly once: with the whole answer, or with a failure
+whose verdict covers all its attempts.
 """
 
 import random
@@ -34,7 +34,7 @@
 RESUMABLE = frozenset(
     {Reason.CONNECTION_LOST, Reason.CHUNK_MISSING, Reason.CHUNK_TIMEOUT}
 )
-# Failures that speak against the target itself.
+# Failures that are counted against the target's health.
 TARGET_FAULTS = frozenset(
     {
         Reason.CONNECT_FAILED,
@@ -48,13 +48,13 @@
 
 
 class CallerSink(Protocol):
-    """The caller's side of an exchange."""
+    """Receives the answer of an exchange on behalf of the caller."""
 
     def chunk(self, data: bytes) -> None:
-        """The next chunk of the answer."""
+        """Receive the next chunk of the answer."""
 
     def ended(self, ended: Ended) -> None:
-        """The answer is whole, or has failed; called once."""
+        """Receive the end of the answer, whole or failed; called once."""
 
 
 Replan = Callable[[Candidate, ProbeAnswer], Deferred[list[Choice]]]
@@ -62,7 +62,7 @@
 
 @attrs.define(kw_only=True)
 class Surroundings:
-    """What the exchanges of one router share."""
+    """The dependencies that the exchanges of one router share."""
 
     clock: Clock
     random: random.Random
@@ -83,28 +83,28 @@
     attempt: Attempt
     candidate: Candidate
     has_started: bool = False
-    # Whether anything has arrived since the timer was set.
-    is_heard: bool = False
+    # Whether a chunk has arrived since the timer was set.
+    has_received: bool = False
 
     def started(self, load: LoadReport) -> None:
-        """The agent has admitted the attempt."""
+        """Record that the agent has admitted the attempt."""
         if self.is_over:
             return
         self.has_started = True
         self.exchange.around.members.report(load, self.clock.seconds())
-        self.watch_for(self.exchange.chunk_timeout_s, Reason.CHUNK_TIMEOUT)
+        self.restart_timer(self.exchange.chunk_timeout_s, Reason.CHUNK_TIMEOUT)
 
     def chunk(self, attempt_id: str, index: int, data: bytes) -> None:
-        """Take a chunk, unless it belongs to another attempt."""
+        """Accept a chunk, unless it belongs to another attempt."""
         own_id = self.attempt.resume_of or self.attempt.attempt_id
         if self.is_over or attempt_id != own_id:
             self.exchange.foreign_chunks += 1
             return
-        self.is_heard = True
+        self.has_received = True
         self.exchange.take_chunk(index, data)
 
     def ended(self, ended: Ended) -> None:
-        """Note the end of the attempt."""
+        """Close the attempt and pass its end to the exchange."""
         if not self.close():
             return
         if ended.load is not None:
@@ -112,17 +112,17 @@
             self.exchange.around.members.report(ended.load, now_s)
         self.exchange.attempt_ended(self, ended)
 
-    def watch_for(self, timeout_s: float, reason: Reason) -> None:
-        """End the attempt for a reason if nothing more is heard in time."""
+    def restart_timer(self, timeout_s: float, reason: Reason) -> None:
+        """End the attempt for a reason if nothing arrives in time."""
         self.watch(timeout_s, partial(self.timed_out, reason))
 
     def timed_out(self, reason: Reason) -> None:
-        """End an attempt that was silent for too long."""
+        """End the attempt, unless a chunk has arrived since the last check."""
         if self.is_over:
             return
-        if self.is_heard:
-            self.is_heard = False
-            self.watch_for(self.exchange.chunk_timeout_s, reason)
+        if self.has_received:
+            self.has_received = False
+            self.restart_timer(self.exchange.chunk_timeout_s, reason)
             return
         text = messages.START_TIMEOUT
         if reason is Reason.CHUNK_TIMEOUT:
@@ -132,39 +132,40 @@
         self.ended(Ended(failure=may_have_run(reason, text)))
 
     def release(self) -> None:
-        """Count the attempt no more."""
+        """Remove the attempt from the target's open attempts."""
         self.exchange.around.members.of(self.candidate.name).open_attempts -= 1
 
 
 @attrs.define(kw_only=True, eq=False)
 class Exchange(Course):
-    """A request on its way."""
+    """A request in progress, with its attempts and its partial answer."""
 
     around: Surroundings
     caller: CallerSink
-    # What every attempt has in common.
+    # The fields that all attempts share.
     template: Attempt
     is_idempotent: bool
     # Targets to try, in order.
     choices: list[Choice]
-    # Longest time to the first token once every target has refused.
+    # Limit of the time to the first token once every target has refused, in
+    # seconds.
     max_first_s: float = defaults.MAX_FIRST_S
     start_timeout_s: float = defaults.START_TIMEOUT_S
     chunk_timeout_s: float = defaults.CHUNK_TIMEOUT_S
     # Returns other targets after a first refusal for wait or cost.
     replan: Replan | None = None
     order: ChunkOrder = attrs.field(factory=ChunkOrder)
-    # Place in `choices` of the next target to try without queueing.
+    # Index in `choices` of the next target to try without queueing.
     position: int = 0
     attempts: int = 0
     retried: int = 0
     # The targets tried, in order.
     path: list[str] = attrs.field(factory=list)
     foreign_chunks: int = 0
-    # Waits that refusing targets reported, by place in `choices`.
+    # Waits that refusing targets reported, by index in `choices`.
     refused_waits_s: dict[int, float] = attrs.field(factory=dict)
     has_queued: bool = False
-    # Chunks known when the answer was last resumed.
+    # Number of chunks that had arrived when the answer was last resumed.
     known_at_resume: int = -1
     current: AttemptSink | None = None
     deadline_at_s: float = 0.0
@@ -179,7 +180,11 @@
         self.next_target(None)
 
     def next_target(self, failure: Failure | None) -> None:
-        """Try the next target, or give up."""
+        """Try the next target, or give up.
+
+        After the last target, the one that refused with the shortest wait is
+        tried once more with the limit `max_first_s`.
+        """
         if self.is_finished:
             return
         if self.attempts >= defaults.MAX_ATTEMPTS:
@@ -190,10 +195,10 @@
             self.open(choice.candidate, choice.max_first_s, choice.max_cost_s)
         elif self.refused_waits_s and not self.has_queued:
             self.has_queued = True
-            place = min(
+            choice_index = min(
                 self.refused_waits_s, key=self.refused_waits_s.__getitem__
             )
-            self.open(self.choices[place].candidate, self.max_first_s)
+            self.open(self.choices[choice_index].candidate, self.max_first_s)
         else:
             self.give_up(failure)
 
@@ -208,7 +213,7 @@
         try:
             text = openai_format.joined_text(self.template.path, order.passed)
         except openai_format.FormatError as error:
-            # Without the text so far the answer cannot go on elsewhere.
+            # Without the text so far no other target can continue the answer.
             self.give_up(may_have_run(Reason.TARGET_ERROR, str(error)))
             return
         left_s = self.deadline_at_s - self.clock.seconds()
@@ -241,7 +246,7 @@
         )
         self.current = sink
         self.around.members.of(candidate.name).open_attempts += 1
-        sink.watch_for(self.start_timeout_s, Reason.START_TIMEOUT)
+        sink.restart_timer(self.start_timeout_s, Reason.START_TIMEOUT)
         sink.call = self.around.port.open(candidate.address, attempt, sink)
 
     def new_id(self) -> str:
@@ -256,7 +261,7 @@
             self.caller.chunk(ready)
 
     def attempt_ended(self, sink: AttemptSink, ended: Ended) -> None:
-        """Decide what follows an attempt."""
+        """Finish, replan, resume, retry or give up after an attempt."""
         if self.is_finished:
             return
         name = sink.candidate.name
@@ -281,7 +286,7 @@
             self.retry(sink, failure)
 
     def replanned(self, choices: list[Choice], failure: Failure) -> None:
-        """Go on with the targets found after a refusal for its cost."""
+        """Continue with the targets found after a refusal for wait or cost."""
         if not choices:
             failure = attrs.evolve(
                 failure,
@@ -300,17 +305,17 @@
     def note_failure(
         self, sink: AttemptSink, failure: Failure, load: LoadReport | None
     ) -> None:
-        """Keep what a failure says of the request and of the target."""
+        """Record a failure for the verdict and for the target's health."""
         now_s = self.clock.seconds()
         self.note_verdict(failure)
         if failure.reason in TARGET_FAULTS:
             self.around.members.failed(sink.candidate.name, now_s)
         if failure.reason is Reason.QUEUE_TOO_LONG:
-            place = self.place_of(sink.candidate)
-            self.refused_waits_s[place] = failure.retry_after_s or 0.0
+            choice_index = self.index_of_choice(sink.candidate)
+            self.refused_waits_s[choice_index] = failure.retry_after_s or 0.0
 
-    def place_of(self, candidate: Candidate) -> int:
-        """Return the place of a target in `choices`."""
+    def index_of_choice(self, candidate: Candidate) -> int:
+        """Return the index of a target in `choices`."""
         names = [choice.candidate.name for choice in self.choices]
         return names.index(candidate.name)
 
@@ -320,7 +325,7 @@
             return False
         if sink.attempt.method:
             return False
-        # One resume without progress shows that the next is futile.
+        # After a resume without progress, another would not help either.
         return self.order.known > self.known_at_resume
 
     def resume(self, sink: AttemptSink) -> None:
@@ -336,7 +341,7 @@
         self.send(sink.candidate, attempt)
 
     def retry(self, sink: AttemptSink, failure: Failure) -> None:
-        """Go on at the next target, within the budgets."""
+        """Try the next target, within the retry budget."""
         self.around.on_retry(failure.reason)
         if failure.reason in retries.SPILL_REASONS:
             self.next_target(failure)
@@ -346,7 +351,7 @@
             return
         self.retried += 1
         if self.position >= len(self.choices):
-            # A failure, unlike a refusal, may not come again.
+            # A failure, unlike a refusal, may not happen again.
             self.position = 0
         pause_s = retries.backoff_s(self.retried, self.around.random)
         self.clock.callLater(pause_s, partial(self.next_target, failure))
@@ -370,7 +375,7 @@
         )
 
     def cancel(self) -> None:
-        """End a request whose caller has gone."""
+        """End a request whose caller has disconnected."""
         if self.is_finished:
             return
         self.cancel_current()
@@ -379,6 +384,6 @@
         )
 
     def finish(self, ended: Ended) -> None:
-        """End the exchange."""
+        """Close the exchange and pass its end to the caller."""
         self.close()
         self.caller.ended(ended)
--- a/sequoiawind/plan.py
+++ b/sequoiawind/plan.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerRequest:
-    """A caller's request, freed of its transport."""
+    """A caller's request, independent of its transport."""
 
     request_id: str
     token: str
@@ -39,12 +39,12 @@
 
     @cached_property
     def prompt_bytes(self) -> bytes:
-        """The prompt in UTF-8; long, so encoded once."""
+        """The prompt in UTF-8; cached, since prompts are long."""
         return self.request.prompt.encode()
 
     @cached_property
     def prompt_tokens(self) -> int:
-        """Tokens of the prompt."""
+        """The number of tokens of the prompt."""
         return prefix.tokens(self.prompt_bytes)
 
     @property
