--- a/sequoiawind/agent.py
+++ b/sequoiawind/agent.py
@@ -1,4 +1,4 @@
-"""The agent: the only way to one target.
+"""The agent, through which all work for one target passes.
 
 It admits or refuses each attempt, queues it fairly, passes it to the target,
 and keeps the chunks for a while, so that a router whose connection broke can
@@ -28,7 +28,7 @@
 
 @attrs.define(kw_only=True)
 class Relay:
-    """One attempt at the agent; the sink of the call to the target."""
+    """One attempt at the agent; receives the target's answer to it."""
 
     agent: "Agent"
     attempt: Attempt
@@ -42,7 +42,7 @@
     end: Ended | None = None
 
     def started(self, load: LoadReport) -> None:
-        """The target has taken the attempt."""
+        """Do nothing: the router was notified when the agent admitted it."""
 
     def chunk(self, attempt_id: str, index: int, data: bytes) -> None:
         """Pass a chunk on, unless it belongs to another attempt."""
@@ -56,7 +56,7 @@
             self.sink.chunk(attempt_id, index, data)
 
     def ended(self, ended: Ended) -> None:
-        """Note the end, and pass it on."""
+        """Record the end of the attempt and pass it on to the router."""
         if self.end is not None:
             return
         load = self.agent.load()
@@ -68,17 +68,17 @@
 
 @attrs.define(kw_only=True)
 class AgentCall:
-    """A router's hold on an attempt at the agent."""
+    """A router's handle for an attempt at the agent."""
 
     agent: "Agent"
     relay: Relay
 
     def cancel(self) -> None:
-        """Stop the attempt: its caller has gone."""
+        """Stop the attempt, because its caller has disconnected."""
         self.agent.cancel(self.relay)
 
     def detach(self) -> None:
-        """Note that the router's connection broke; it may resume."""
+        """Record that the router's connection broke; the router may resume."""
         self.agent.detach(self.relay)
 
 
@@ -100,15 +100,15 @@
     index: CacheIndex = attrs.field(factory=CacheIndex)
     # Weights version that the target was last seen to serve.
     version: str = ""
-    # Why no new work is taken; empty if it is.
+    # Why no new work is accepted; empty if it is accepted.
     draining: str = ""
     is_leaving: bool = False
     relays: OrderedDict[str, Relay] = attrs.field(factory=OrderedDict)
-    # The engine's block at the end of each placement block seen lately.
-    coarse: OrderedDict[int, int] = attrs.field(factory=OrderedDict)
+    # Maps recent placement blocks to the engine block at the end of each.
+    placement_blocks: OrderedDict[int, int] = attrs.field(factory=OrderedDict)
     # Called with the name of each event, for metrics.
     on_event: Callable[[str], None] = attrs.field(default=lambda name: None)
-    ticking: bool = False
+    is_tick_scheduled: bool = False
 
     def open(self, address: str, attempt: Attempt, sink: Sink) -> AgentCall:
         """Admit an attempt, refuse it, or resume an earlier one."""
@@ -122,7 +122,7 @@
         self.relays[attempt.attempt_id] = relay
         sink.started(self.load())
         self.queue.start_ready(self.clock.seconds())
-        self.keep_ticking()
+        self.schedule_tick()
         return call
 
     def refuse(self, call: AgentCall, refused: Ended) -> AgentCall:
@@ -136,7 +136,7 @@
         return call
 
     def refusal(self, attempt: Attempt) -> Ended | None:
-        """Return why an attempt cannot be queued, if it cannot."""
+        """Return a refusal if an attempt cannot be queued, else None."""
         failure: Failure | None = None
         if self.draining:
             failure = not_run(Reason.DRAINING, messages.DRAINING)
@@ -188,8 +188,9 @@
     def allowed_wait_s(self, attempt: Attempt, missing_tokens: int) -> float:
         """Return how long an attempt may queue, in seconds.
 
-        What is left of its limit after computing its prompt; an idle target
-        takes even a prompt that alone takes longer.
+        This is the time left of its limit after computing its prompt, and at
+        least `BASE_WAIT_S`, so that an idle target accepts even a prompt whose
+        computation alone takes longer.
         """
         compute_s = missing_tokens / self.queue.prefill_tokens_per_s
         return max(attempt.max_first_s - compute_s, defaults.BASE_WAIT_S)
@@ -197,7 +198,7 @@
     def with_probe(
         self, refusal: Failure, wait_s: float, hit_tokens: int
     ) -> Ended:
-        """Return a refusal with what a probe would have told."""
+        """Return a refusal together with what a probe would return."""
         load = self.load()
         return Ended(
             failure=refusal,
@@ -219,24 +220,24 @@
         relay.chain = prefix.chain(
             attempt.cache_salt, text, self.block_bytes, len(text)
         )
-        self.note_coarse(attempt, text, relay.chain)
+        self.note_placement_blocks(attempt, text, relay.chain)
         hits = self.index.hit_blocks(relay.chain, now_s)
         hit_tokens = hits * self.block_bytes // defaults.BYTES_PER_TOKEN
         return prefix.tokens(text), hit_tokens
 
-    def note_coarse(
+    def note_placement_blocks(
         self, attempt: Attempt, text: bytes, chain: list[int]
     ) -> None:
-        """Note which engine block ends each placement block of a prompt."""
+        """Record the engine block at the end of each placement block."""
         ratio = defaults.PLACEMENT_BLOCK_BYTES // self.block_bytes
         for number, block in enumerate(prefix.chain(attempt.cache_salt, text)):
-            self.coarse[block] = chain[(number + 1) * ratio - 1]
-            self.coarse.move_to_end(block)
-        while len(self.coarse) > defaults.MAX_COARSE_BLOCKS:
-            self.coarse.popitem(last=False)
+            self.placement_blocks[block] = chain[(number + 1) * ratio - 1]
+            self.placement_blocks.move_to_end(block)
+        while len(self.placement_blocks) > defaults.MAX_COARSE_BLOCKS:
+            self.placement_blocks.popitem(last=False)
 
     def probe(self, probe: Probe) -> ProbeAnswer:
-        """Say how soon a request could start, and what is cached of it."""
+        """Return how soon a request could start and how much is cached."""
         now_s = self.clock.seconds()
         hit_tokens = self.probe_hits(probe.chain, now_s)
         job = Job(
@@ -263,7 +264,7 @@
             defaults.PLACEMENT_BLOCK_BYTES // defaults.BYTES_PER_TOKEN
         )
         for depth in range(len(chain), 0, -1):
-            block = self.coarse.get(chain[depth - 1])
+            block = self.placement_blocks.get(chain[depth - 1])
             if block is not None and self.index.has(block, now_s):
                 return depth * block_tokens
         return 0
@@ -282,16 +283,16 @@
             relay.attempt.attempt_id,
             None,
         )
-        # The next start waits until the end has been passed on.
+        # Deferred so that the end is passed on before the next start.
         self.clock.callLater(0, self.start_ready)
 
     def on_first_token(self, attempt_id: str) -> None:
-        """Note that a prompt is computed; others may wait for its prefix."""
+        """Record that a prompt is computed; others may wait for its prefix."""
         self.queue.mark_prefilled(attempt_id)
         self.clock.callLater(0, self.start_ready)
 
     def start_ready(self) -> None:
-        """Start what the queue allows."""
+        """Start the queued attempts for which the target has room."""
         self.queue.start_ready(self.clock.seconds())
 
     def resume(self, attempt: Attempt, sink: Sink) -> AgentCall:
@@ -314,7 +315,7 @@
         return AgentCall(agent=self, relay=relay)
 
     def cancel(self, relay: Relay) -> None:
-        """End an attempt that nobody waits for."""
+        """End an attempt whose answer is no longer needed."""
         relay.sink = None
         if relay.end is not None:
             return
@@ -326,7 +327,10 @@
         relay.ended(Ended(failure=verdict(Reason.CANCELLED, "cancelled")))
 
     def detach(self, relay: Relay) -> None:
-        """Keep an attempt for a while without a router."""
+        """Disconnect the router from an attempt; a router may resume it.
+
+        An engine's attempt is cancelled if it is not resumed in time.
+        """
         relay.sink = None
         if relay.end is None and self.service == "engine":
             self.clock.callLater(
@@ -341,7 +345,7 @@
     def follow_config(self, state: State) -> None:
         """Drain or admit as the configuration in force says.
 
-        A daemon that is shutting down stays closed.
+        An agent that is shutting down continues to refuse new work.
         """
         if self.is_leaving:
             return
@@ -349,7 +353,7 @@
         self.draining = target.drained if target is not None else ""
 
     def leave(self) -> None:
-        """Take no new work for good: the process is shutting down."""
+        """Refuse new work permanently, because the process is shutting down."""
         self.is_leaving = True
         self.draining = messages.SHUTTING_DOWN
 
@@ -358,7 +362,7 @@
         return not self.queue.running and self.queue.queued == 0
 
     def load(self) -> LoadReport:
-        """Return the report that rides on answers."""
+        """Return the load report that is attached to answers."""
         return LoadReport(
             target=self.target,
             incarnation=self.index.incarnation,
@@ -369,14 +373,14 @@
             version=self.version,
         )
 
-    def keep_ticking(self) -> None:
-        """Look after waiting attempts while there are any."""
-        if not self.ticking:
-            self.ticking = True
+    def schedule_tick(self) -> None:
+        """Schedule the next tick, unless one is scheduled already."""
+        if not self.is_tick_scheduled:
+            self.is_tick_scheduled = True
             self.clock.callLater(defaults.AGENT_TICK_S, self.tick)
 
     def tick(self) -> None:
-        """Refuse the attempts that have waited longer than allowed."""
+        """Refuse the attempts that have waited too long; start others."""
         now_s = self.clock.seconds()
         for job in self.queue.withdraw_overdue(now_s):
             relay = self.relays.get(job.name)
@@ -388,6 +392,6 @@
                 relay.ended(Ended(failure=late))
         self.index.forget_expected(now_s)
         self.queue.start_ready(now_s)
-        self.ticking = False
+        self.is_tick_scheduled = False
         if not self.is_idle():
-            self.keep_ticking()
+            self.schedule_tick()
--- a/sequoiawind/appender.py
+++ b/sequoiawind/appender.py
@@ -1,9 +1,9 @@
-"""Appending to the log: many records in one append, and an outbox.
+"""Appends records to the log in batches, and retries from an outbox.
 
-The log takes a few hundred appends a second, so records that are waiting
-while an append is under way go together in the next one.  The outbox holds
-records that must reach the log in the end, such as releases and outcomes,
-and tries again until the log has taken them; they are idempotent.
+The log accepts a few hundred appends a second, so records that arrive while an
+append is in progress are sent together in the next one.  The outbox holds
+records that must eventually reach the log, such as releases and outcomes, and
+retries until the log has accepted them; they are idempotent.
 """
 
 import random
@@ -20,8 +20,8 @@
 
 
 @attrs.define(kw_only=True)
-class Waiting:
-    """A record that waits for its append."""
+class PendingRecord:
+    """A record that waits to be appended."""
 
     data: str
     done: Deferred[AppendResult]
@@ -33,7 +33,7 @@
 
     log: LogPort
     stream: str
-    queue: list[Waiting] = attrs.field(factory=list)
+    queue: list[PendingRecord] = attrs.field(factory=list)
     is_busy: bool = False
 
     def append(self, data: str) -> Deferred[AppendResult]:
@@ -43,45 +43,45 @@
             full = not_run(Reason.LOG_UNAVAILABLE, messages.LOG_UNAVAILABLE)
             done.callback(Error(full))
             return done
-        self.queue.append(Waiting(data=data, done=done))
+        self.queue.append(PendingRecord(data=data, done=done))
         if not self.is_busy:
             self.flush()
         return done
 
     def flush(self) -> None:
-        """Start the append of what waits."""
+        """Start the append of the next batch, if there is one."""
         if not self.queue:
             return
         self.is_busy = True
         batch = self.queue[: defaults.MAX_RECORDS_PER_APPEND]
         del self.queue[: len(batch)]
-        records = [waiting.data for waiting in batch]
+        records = [record.data for record in batch]
         self.log.append(self.stream, records).addCallback(self.finish, batch)
 
-    def finish(self, result: AppendResult, batch: list[Waiting]) -> None:
-        """Tell each record's sender and go on with the next batch."""
+    def finish(self, result: AppendResult, batch: list[PendingRecord]) -> None:
+        """Pass on the result for each record and append the next batch."""
         self.is_busy = False
-        for position, waiting in enumerate(batch):
+        for position, record in enumerate(batch):
             if result.is_ok():
-                waiting.done.callback(Ok(result.ok + position))
+                record.done.callback(Ok(result.ok + position))
             else:
-                waiting.done.callback(Error(result.error))
+                record.done.callback(Error(result.error))
         if not self.is_busy:
             self.flush()
 
 
 @attrs.define(kw_only=True)
 class Outbox:
-    """Records of one stream that are appended until the log takes them."""
+    """Retries records of one stream until the log has accepted them."""
 
     appender: GroupAppender
     clock: Clock
     random: random.Random
-    # Records not yet taken by the log.
+    # Number of records that the log has not accepted yet.
     pending: int = 0
 
     async def put(self, data: str) -> None:
-        """Append a record, trying again until the log has it."""
+        """Append a record, retrying until the log has accepted it."""
         self.pending += 1
         try:
             while (await self.appender.append(data)).is_error():
--- a/sequoiawind/keys.py
+++ b/sequoiawind/keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys whose age can be read from them (UUID version 7).
+"""Idempotency keys that contain their time of creation (UUID version 7).
 
-RFC 9562 puts the Unix time in milliseconds into the first 48 bits.  A key
-older than its claim is kept for must be refused, so a key without an age, or
-with one in the future, is refused too.
+RFC 9562 puts the Unix time in milliseconds into the first 48 bits.  A key must
+be refused once it is older than the time for which its claim is kept.  So a
+key without a time, or with one in the future, is refused too.
 """
 
 import uuid
@@ -30,10 +30,10 @@
 
 @attrs.frozen(kw_only=True)
 class KeyLimits:
-    """Which ages of keys are accepted.
+    """The range of key ages that is accepted.
 
-    All claims of a key lie within its largest age and skew, and the log must
-    keep the first of them until then.
+    All claims of a key are made within the largest skew before its time and
+    the largest age after it; the log must keep the first claim that long.
     """
 
     max_age_s: float = defaults.KEY_MAX_AGE_S
@@ -41,7 +41,7 @@
 
 
 def limits_for(log_retention_s: float) -> KeyLimits:
-    """Return limits that fit in the time for which the log keeps records."""
+    """Return limits that fit within the log's retention, in seconds."""
     return KeyLimits(
         max_age_s=min(
             defaults.KEY_MAX_AGE_S,
@@ -56,11 +56,11 @@
 
 @attrs.frozen(kw_only=True)
 class CheckedKey:
-    """A key that is accepted."""
+    """An accepted key."""
 
     # Canonical form.
     text: str
-    # Time by the log from which a claim of it is void, in seconds since the
+    # Log time after which a claim of the key is void, in seconds since the
     # epoch.
     valid_until_s: float
 
@@ -73,10 +73,10 @@
     Args:
       text: The key as sent; None if there was none.
       now_s: The time in seconds since the epoch.
-      limits: Which ages are accepted.
+      limits: The range of ages that is accepted.
 
     Returns:
-      The key, or why the request was not run.
+      The key, or the refusal of the request.
     """
     if not text:
         return Error(not_run(Reason.KEY_MISSING, messages.KEY_MISSING))
--- a/sequoiawind/load_slots.py
+++ b/sequoiawind/load_slots.py
@@ -1,7 +1,7 @@
-"""Slots for loading weights: at most so many targets of a pool at once.
+"""Slots that limit how many targets of a pool load weights concurrently.
 
-A target joins a queue on the log; the first places of the queue may load.
-Places only move forward, so a process that acts on an older state never
+A target joins a queue on the log; the first targets of the queue may load.
+Positions only move forward, so a process that acts on an older state never
 loads too early.  A target leaves the queue when it serves the version, or
 when an operator deletes it; a load that hangs keeps its slot, and operators
 see it as pending.
@@ -32,14 +32,14 @@
 
 @attrs.define(kw_only=True)
 class SlotQueue:
-    """The fold of a pool's stream: the targets that want to load."""
+    """The fold of a pool's stream: the queue of targets that are to load."""
 
     next_offset: int = 0
     # In the order in which they joined.
     targets: list[str] = attrs.field(factory=list)
 
     def fold(self, offset: int, data: str) -> None:
-        """Take in one more record; skip one that cannot be read."""
+        """Apply the next record; skip one that cannot be decoded."""
         self.next_offset = offset + 1
         try:
             record = wire.decode(data, SlotRecord)
@@ -60,23 +60,23 @@
 
 @attrs.define(kw_only=True)
 class LoadSlots:
-    """One agent's part in its pool's queue."""
+    """Joins and leaves the queue of a pool for one target."""
 
     log: LogPort
     target: str
     queue: SlotQueue = attrs.field(factory=SlotQueue)
     stream: str = ""
 
-    def follow(self, pool: str) -> None:
-        """Use the queue of a pool."""
+    def select_pool(self, pool: str) -> None:
+        """Use the queue of a pool; start with an empty one if it is new."""
         stream = f"{STREAM_PREFIX}{pool}"
         if stream != self.stream:
             self.stream = stream
             self.queue = SlotQueue()
 
     async def acquire(self, pool: str, state: State, slots: int) -> bool:
-        """Join the queue, and return whether this target may load now."""
-        self.follow(pool)
+        """Join the queue if needed; return whether the target may load now."""
+        self.select_pool(pool)
         if (await self.catch_up()).is_error():
             return False
         if self.target not in self.queue.targets:
@@ -86,20 +86,20 @@
         return self.queue.may_load(self.target, state, slots)
 
     async def release(self, pool: str) -> None:
-        """Leave the queue: the target serves what it should."""
-        self.follow(pool)
+        """Leave the queue, because the target serves the ordered version."""
+        self.select_pool(pool)
         if (await self.catch_up()).is_error():
             return
         if self.target in self.queue.targets:
             await self.append("done")
 
     async def append(self, verb: str) -> None:
-        """Append a record; a repeated one changes nothing."""
+        """Append a record; a repeated one has no effect."""
         record = SlotRecord(verb=verb, target=self.target)
         await self.log.append(self.stream, [wire.encode(record).decode()])
 
     async def catch_up(self) -> Result[int, Failure]:
-        """Fold all that the log holds of the pool's stream."""
+        """Fold the pool's stream up to its end in the log."""
         while True:
             page = await self.log.read(
                 self.stream, self.queue.next_offset, defaults.READ_LIMIT
