--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,9 +1,9 @@
-"""At most once: a fault at every moment of an action's way.
+"""At-most-once execution with a fault at every moment of an action.
 
 An action takes about 25 ms of virtual time from its arrival to its answer:
 claim, read-back, agent, service, outcome.  Each fault is injected at each
-millisecond; then the caller submits the same key again through the other
-router until it has a final answer.
+millisecond; then the caller submits the same key through the other router
+three more times.
 """
 
 from collections.abc import Callable
@@ -45,26 +45,26 @@
 
 
 def crash_service(session: Session) -> None:
-    """Crash the service; it comes back."""
+    """Crash the service for 0.5 s."""
     session.do_crash("service", "0.5")
 
 
 def log_outage(session: Session) -> None:
-    """Take the log down for a while."""
+    """Make the log unavailable for 5 s."""
     session.do_log("down")
     session.do_run("5")
     session.do_log("up")
 
 
-def log_loses(session: Session) -> None:
-    """Let the log lose its answers for a while."""
+def lose_log_answers(session: Session) -> None:
+    """Make the log lose all its answers for 5 s."""
     session.do_log("loses")
     session.do_run("5")
     session.do_log("up")
 
 
-def both_routers(session: Session) -> None:
-    """Kill both routers together."""
+def kill_both_routers(session: Session) -> None:
+    """Kill both routers at the same time and restart them."""
     for name in ("r0", "r1"):
         session.do_kill(name)
     session.do_run("0.5")
@@ -79,13 +79,13 @@
     pause_agent,
     crash_service,
     log_outage,
-    log_loses,
-    both_routers,
+    lose_log_answers,
+    kill_both_routers,
 )
 
 
 class EveryMomentTest(TestCase):
-    """No moment lets an action run twice, or run after `not run`."""
+    """No action runs twice, or runs although its verdict is `not_run`."""
 
     def check(self, fault: Callable[[Session], None], moment_ms: int) -> None:
         where = f"{fault.__name__} at {moment_ms} ms"
@@ -103,11 +103,11 @@
         for name, caller in session.callers.items():
             if caller.end is None:
                 continue
-            told = caller.told(caller.end)
-            if " not_run " in told:
-                self.assertEqual(0, service.by_request[name], (where, told))
-            if told.endswith(" done"):
-                self.assertEqual(1, service.by_key[key], (where, told))
+            answer = caller.told(caller.end)
+            if " not_run " in answer:
+                self.assertEqual(0, service.by_request[name], (where, answer))
+            if answer.endswith(" done"):
+                self.assertEqual(1, service.by_key[key], (where, answer))
         self.assertEqual([], invariants.violations)
 
     def test_every_fault_at_every_moment(self) -> None:
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""At most once: the fold of claims, the claimant, whole runs."""
+"""At-most-once execution: the fold of claims, claimants, soak seeds."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 def claim(number: int, valid_until_s: float = 1000.0) -> Claim:
-    """Return a claim of the one key of these tests."""
+    """Return a claim of the key that these tests use."""
     return Claim(
         claim_id=f"c{number}",
         key="nordlys/k",
@@ -30,7 +30,7 @@
 
 
 def fold(*nodes: claims.ClaimNode, times: tuple[float, ...] = ()) -> ClaimTable:
-    """Return the fold of nodes, a second apart if no times are given."""
+    """Return the table of nodes; by default they are a second apart."""
     table = ClaimTable()
     for offset, node in enumerate(nodes):
         time_s = times[offset] if times else float(offset)
@@ -39,7 +39,7 @@
 
 
 def holder(table: ClaimTable) -> str:
-    """Return the claim that holds the key; empty if none does."""
+    """Return the id of the claim that holds the key; empty if none does."""
     entry = table.entries.get("nordlys/k")
     return entry.claim.claim_id if entry else ""
 
@@ -59,7 +59,7 @@
         release = Release(claim_id="c2", key="nordlys/k")
         self.assertEqual("c1", holder(fold(claim(1), claim(2), release)))
 
-    def test_release_voids_a_claim_that_comes_late(self) -> None:
+    def test_release_voids_a_later_claim_of_its_id(self) -> None:
         release = Release(claim_id="c1", key="nordlys/k")
         self.assertEqual("", holder(fold(release, claim(1))))
 
@@ -70,7 +70,7 @@
         release = Release(claim_id="c1", key="nordlys/k")
         self.assertEqual("c1", holder(fold(claim(1), outcome, release)))
 
-    def test_claim_after_its_key_has_aged_is_void(self) -> None:
+    def test_claim_of_a_key_that_is_too_old_is_void(self) -> None:
         # The log may have dropped an earlier claim of the key by then.
         late = claim(1, valid_until_s=50.0)
         self.assertEqual("", holder(fold(late, times=(50.1,))))
@@ -98,7 +98,7 @@
 
 
 class ClaimantTest(TestCase):
-    """A process claims, sends, records; the log fails at each step."""
+    """Claims are won, lost and abandoned, with a log that may fail."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -145,7 +145,7 @@
         self.assertEqual(Verdict.NOT_RUN, result.error.verdict)
         self.assertIsNotNone(result.error.retry_after_s)
 
-    def test_lost_answer_is_resolved_by_reading(self) -> None:
+    def test_lost_append_answer_is_resolved_by_reading(self) -> None:
         self.log.lost_answers = 1.0
         self.assertTrue(self.acquire(self.claimant("a")).is_ok())
 
@@ -164,7 +164,7 @@
         self.assertEqual(0, claimant.pending)
         self.assertTrue(self.acquire(self.claimant("b")).is_ok())
 
-    def test_late_winner_does_not_send(self) -> None:
+    def test_winner_outside_the_send_window_does_not_send(self) -> None:
         self.log.latency_s = 40.0
         result = self.acquire(self.claimant("a"), wait_s=200.0)
         self.assertEqual(Reason.CLAIM_EXPIRED, result.error.reason)
@@ -172,9 +172,10 @@
 
 
 class SoakFindingsTest(TestCase):
-    """Seeds of the soak run that have found faults."""
+    """Seeds with which the soak run has found faults."""
 
     def test_claim_dropped_by_the_retention(self) -> None:
-        # A key was claimed again after the log had dropped its first claim.
+        # With these seeds a key was claimed again after the log had dropped
+        # its first claim.
         for seed in (144, 378):
             self.assertEqual([], soak.run_seed(seed)[0])
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -25,21 +25,21 @@
 
 
 class PlacementTest(TestCase):
-    """A pure function that moves only what it must."""
+    """Rendezvous order is stable when a target is added."""
 
     def candidates(self, count: int) -> list[Candidate]:
         return [
             Candidate(name=f"e{number}", address="") for number in range(count)
         ]
 
-    def first(self, count: int) -> list[str]:
+    def first_targets(self, count: int) -> list[str]:
         return [
             placement.rank(key, self.candidates(count))[0].name
             for key in range(2000)
         ]
 
     def test_adding_a_target_moves_only_its_share(self) -> None:
-        before, after = self.first(9), self.first(10)
+        before, after = self.first_targets(9), self.first_targets(10)
         moved = [
             new for old, new in zip(before, after, strict=True) if old != new
         ]
@@ -74,9 +74,9 @@
 
 
 class SharingTest(TestCase):
-    """The shallowest prefix that one target can carry."""
+    """Prompts are placed by the shallowest prefix one target can carry."""
 
-    def test_hot_prefix_is_split(self) -> None:
+    def test_overloaded_prefix_is_split(self) -> None:
         tracker = SharingTracker()
         depths = [
             tracker.choose([1, 10 + number % 8], number * 0.1, 5, 0).depth
@@ -85,7 +85,7 @@
         self.assertEqual(1, depths[0])
         self.assertEqual(2, depths[-1])
 
-    def test_very_hot_prompt_is_spread(self) -> None:
+    def test_overloaded_prompt_is_spread(self) -> None:
         tracker = SharingTracker()
         for number in range(400):
             chosen = tracker.choose([1, 2], number * 0.1, 5, 0)
@@ -116,7 +116,7 @@
 
 
 class MembersTest(TestCase):
-    """Four sources joined into one view."""
+    """Candidates and states follow from all sources of membership."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -136,7 +136,7 @@
         self.members.vms = {"vm-a": VmState.LEAVING}
         self.assertEqual("bcd", self.names())
 
-    def test_wrong_list_does_not_empty_a_pool(self) -> None:
+    def test_list_in_which_all_leave_does_not_empty_a_pool(self) -> None:
         self.members.vms = {f"vm-{name}": VmState.LEAVING for name in "abcd"}
         self.assertEqual("abcd", self.names())
 
@@ -145,7 +145,7 @@
         self.assertEqual("bcd", self.names(1.0))
         self.assertEqual("abcd", self.names(60.0))
 
-    def test_dead_target_is_left_and_tried_again(self) -> None:
+    def test_failing_target_is_ejected_and_tried_again(self) -> None:
         for _ in range(3):
             self.members.failed("a", 0.0)
         self.assertEqual("bcd", self.names(0.5))
@@ -161,12 +161,12 @@
                 self.members.failed(name, 0.0)
         self.assertEqual(2, len(self.names(0.5)))
 
-    def test_words(self) -> None:
+    def test_target_states(self) -> None:
         self.members.report(LoadReport(target="a", running=2), 0.0)
         for _ in range(3):
             self.members.failed("b", 0.0)
         self.members.vms = {"vm-c": VmState.LEAVING}
-        words = [
+        states = [
             self.members.state_of(target, 0.5)
             for target in self.state.targets.values()
         ]
@@ -177,15 +177,19 @@
                 TargetState.DRAINING,
                 TargetState.WARM,
             ],
-            words,
+            states,
         )
 
 
 class LimitsTest(TestCase):
-    """Rates and concurrency over several routers."""
+    """Rate and concurrency limits hold over several routers."""
 
-    def admitted(self, skew: tuple[float, ...], kill_s: float) -> float:
-        """Return the admitted rate as a share of the limit."""
+    def admitted_share(self, skew: tuple[float, ...], kill_s: float) -> float:
+        """Return the admitted rate as a share of the limit.
+
+        Three routers get requests at four times the limit, in proportions
+        `skew`; at `kill_s` the first of them restarts without its state.
+        """
         account = Account(name="a", rate_per_s=50.0)
         count = len(skew)
         routers = [AccountLimits(routers=count) for _ in range(count)]
@@ -199,10 +203,10 @@
                     routers[number].release("a")
                     admitted += now_s >= 20.0
             if step % 100 == 0:
-                told = [router.exchange() for router in routers]
-                for mine, router in enumerate(routers):
-                    for other, demand in enumerate(told):
-                        if other != mine:
+                demands = [router.exchange() for router in routers]
+                for receiver, router in enumerate(routers):
+                    for other, demand in enumerate(demands):
+                        if other != receiver:
                             router.hear(str(other), demand, now_s)
             if now_s == kill_s:
                 routers[0] = AccountLimits(routers=count)
@@ -211,10 +215,10 @@
     def test_within_a_tenth_of_the_limit(self) -> None:
         for skew in ((1.0, 1.0, 1.0), (8.0, 1.0, 1.0), (1.0, 0.0, 0.0)):
             for kill_s in (-1.0, 30.0):
-                share = self.admitted(skew, kill_s)
+                share = self.admitted_share(skew, kill_s)
                 self.assertTrue(0.9 <= share <= 1.1, (skew, kill_s, share))
 
-    def test_refusal_says_when_to_come_back(self) -> None:
+    def test_refusal_has_a_retry_time(self) -> None:
         limits = AccountLimits()
         account = Account(name="a", rate_per_s=0.1, concurrency=5)
         self.assertIsNone(limits.admit(account, 0.0))
@@ -222,14 +226,14 @@
         self.assertEqual(Reason.RATE_LIMIT, refusal.reason)
         self.assertEqual(10.0, round(refusal.retry_after_s))
 
-    def test_message_is_bounded(self) -> None:
+    def test_reported_accounts_are_bounded(self) -> None:
         limits = AccountLimits(routers=12, usage={})
         for number in range(1400):
             account = Account(name=f"a{number}", rate_per_s=1.0)
             limits.admit(account, 0.0)
         self.assertEqual(20, len(limits.exchange()))
 
-    def test_quiet_accounts_are_not_told(self) -> None:
+    def test_low_demand_is_not_reported(self) -> None:
         limits = AccountLimits(routers=12)
         limits.admit(Account(name="a", rate_per_s=1000.0), 0.0)
         self.assertEqual({}, limits.exchange())
@@ -246,7 +250,7 @@
 
 
 class RetriesTest(TestCase):
-    """By verdict, within budgets."""
+    """Retries depend on the verdict and are bounded by budgets."""
 
     def test_by_verdict(self) -> None:
         lost = may_have_run(Reason.CONNECTION_LOST)
@@ -271,7 +275,7 @@
 
 
 class AdmissionTest(TestCase):
-    """Fair shares, priorities without starvation, early refusal."""
+    """The queue is fair by weight and priority, and refuses early."""
 
     def job(self, name: str, account: str, **fields: object) -> Job:
         values = {
@@ -333,9 +337,9 @@
 
 
 class CacheIndexTest(TestCase):
-    """The index follows late events with gaps, for one incarnation."""
+    """The index tolerates missing events and restarts of the engine."""
 
-    def test_gap_promises_nothing_until_the_list_is_read(self) -> None:
+    def test_no_hits_after_a_gap_until_the_list_is_read(self) -> None:
         index = CacheIndex()
         stored = CacheEvent(sequence=0, stored=(1, 2, 3))
         index.apply(CacheEvents(incarnation="i", events=(stored,)))
@@ -355,7 +359,7 @@
 
 
 class SettingsTest(TestCase):
-    """Every fault of a settings file is named."""
+    """Every error in a settings file is reported."""
 
     def test_faults(self) -> None:
         def check(text: str) -> str:
@@ -368,7 +372,7 @@
 
 
 class PrefixOwnerTest(TestCase):
-    """Prompts of one cold prefix do not compute it twice."""
+    """A prefix that is not cached is computed once for several prompts."""
 
     def job(self, name: str, after: str = "") -> Job:
         return Job(
@@ -393,7 +397,7 @@
         queue.start_ready(0.1)
         self.assertEqual({"a", "b", "c"}, set(queue.running))
 
-    def test_follower_goes_on_without_its_owner(self) -> None:
+    def test_follower_starts_when_its_owner_has_ended(self) -> None:
         queue = FairQueue()
         for job in (self.job("a"), self.job("b", after="a")):
             queue.offer(job, 0.0)
@@ -402,7 +406,7 @@
         queue.start_ready(0.1)
         self.assertEqual({"b"}, set(queue.running))
 
-    def test_follower_of_a_withdrawn_owner(self) -> None:
+    def test_follower_starts_when_its_owner_is_withdrawn(self) -> None:
         queue = FairQueue(max_running=1)
         jobs = [self.job("x"), self.job("a"), self.job("b", after="a")]
         for job in jobs:
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""Whole answers: engines that crash, connections that break, callers gone."""
+"""Exchanges despite crashes, lost chunks and disconnected callers."""
 
 from testtools import TestCase
 
@@ -13,10 +13,10 @@
 
 
 class CrashTest(TestCase):
-    """An engine crashes after any number of chunks."""
+    """The answer is whole if the engine or agent fails at any chunk."""
 
     def prompt_until(self, chunks: int) -> Session:
-        """Send a prompt and run until so many chunks have arrived."""
+        """Send a prompt and run until this number of chunks has arrived."""
         session = Session()
         session.do_prompt("q1", "r0", str(TOKENS), "A briefing.")
         caller = session.callers["q1"]
@@ -53,7 +53,7 @@
 
 
 class ChunkFaultsTest(TestCase):
-    """Chunks are lost, doubled, crossed or belong to others."""
+    """Chunks are lost, repeated, reordered or of other attempts."""
 
     def answers(self, faults: ChunkFaults) -> list[str]:
         session = Session()
@@ -65,7 +65,7 @@
 
     def test_each_fault(self) -> None:
         for faults in (
-            # Between agent and router, so that the agent has all chunks.
+            # Lost between agent and router, so that the agent has all chunks.
             ChunkFaults(lost=0.05, sender="agent"),
             ChunkFaults(doubled=0.3),
             ChunkFaults(crossed=0.3),
@@ -75,8 +75,8 @@
             self.assertEqual(["right"] * 20, self.answers(faults), faults)
 
     def test_engine_loses_chunks(self) -> None:
-        # The retry budget may end before the losses do; then the caller is
-        # told, and told when to come back.
+        # The retry budget may be used up before the losses end; then the
+        # caller gets a failure with a time to retry after.
         for faults in (ChunkFaults(lost=0.05), ChunkFaults(broken=0.05)):
             answers = set(self.answers(faults))
             self.assertIn("right", answers)
@@ -96,7 +96,7 @@
 
 
 class CallerGoneTest(TestCase):
-    """A caller that goes away stops the work for it."""
+    """A disconnected caller stops idempotent work only."""
 
     def test_engine_stops(self) -> None:
         session = Session()
@@ -107,7 +107,7 @@
         for name in ("e1", "e2", "e3"):
             self.assertEqual([], session.rig.agents[name].target.batch)
 
-    def test_booking_goes_on(self) -> None:
+    def test_action_continues(self) -> None:
         session = Session()
         session.do_book("b1", "r0", "k1", "{}")
         session.do_run("0.01")
@@ -118,8 +118,8 @@
         self.assertEqual("b2: 200 done", session.lines[-1])
 
 
-class AccountsTest(TestCase):
-    """A fault in the accounts does not keep an answer back."""
+class AccountingTest(TestCase):
+    """A failure of the accounting does not withhold an answer."""
 
     def test_answer_arrives(self) -> None:
         session = Session()
@@ -142,7 +142,7 @@
 
 
 class InvariantTest(TestCase):
-    """A violated promise raises and is remembered."""
+    """A violated invariant raises and is recorded."""
 
     def test_out_of_order_chunk(self) -> None:
         self.addCleanup(invariants.violations.clear)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -17,11 +17,14 @@
 ENGINES = ("e1", "e2", "e3")
 
 
-def most_loading(load_slots: int, pause_agent: str = "") -> tuple[int, int]:
+def max_concurrent_loads(
+    load_slots: int, pause_agent: str = ""
+) -> tuple[int, int]:
     """Load weights on three engines.
 
     Returns:
-      The most loads at once, and how many engines have the new version.
+      The largest number of concurrent loads, and how many engines have the
+      new version.
     """
     rig = Rig(seed=3, parameters=EngineParameters(load_time_s=4.0))
     slots = Set(
@@ -33,31 +36,31 @@
     for name in ENGINES:
         rig.add_target(RigTarget(name=name, pool="engines"))
     engines = [rig.agents[name].target for name in ENGINES]
-    most = 0
+    most_loads = 0
     for step in range(400):
         rig.advance(step * 0.1)
-        most = max(most, sum(engine.loading for engine in engines))
+        most_loads = max(most_loads, sum(engine.loading for engine in engines))
         if pause_agent and step == 30:
             rig.agents[pause_agent].node.pause()
         if pause_agent and step == 200:
             rig.agents[pause_agent].node.resume()
-    return most, sum(engine.version == "v2" for engine in engines)
+    return most_loads, sum(engine.version == "v2" for engine in engines)
 
 
 class SlotsTest(TestCase):
-    """At most so many weight loads at once, and all in the end."""
+    """Concurrent weight loads are limited, and all loads are done."""
 
     def test_one_at_a_time(self) -> None:
-        self.assertEqual((1, 3), most_loading(1))
+        self.assertEqual((1, 3), max_concurrent_loads(1))
 
     def test_two_at_a_time(self) -> None:
-        self.assertEqual((2, 3), most_loading(2))
+        self.assertEqual((2, 3), max_concurrent_loads(2))
 
     def test_paused_agent_delays_but_adds_no_load(self) -> None:
         for name in ENGINES:
-            self.assertEqual((1, 3), most_loading(1, pause_agent=name))
+            self.assertEqual((1, 3), max_concurrent_loads(1, pause_agent=name))
 
-    def test_place_in_the_queue_only_moves_forward(self) -> None:
+    def test_position_in_the_queue_only_moves_forward(self) -> None:
         queue = SlotQueue()
         state = State(targets={name: Target(name=name) for name in "abc"})
         for offset, (verb, target) in enumerate(
@@ -73,7 +76,7 @@
 
 
 class WeightStoreTest(TestCase):
-    """Loads beyond the free ones slow each other."""
+    """Loads beyond the number of free ones slow each other down."""
 
     def test_third_load_is_slower(self) -> None:
         clock = VirtualClock()
@@ -114,7 +117,7 @@
 
 
 class FencingTest(TestCase):
-    """An engine that checks refuses an order with an old number."""
+    """An engine that checks fencing numbers refuses an older one."""
 
     def engine(self, checks: bool) -> EngineModel:
         return EngineModel(
@@ -130,7 +133,7 @@
         self.assertFalse(engine.order_version("v1", 6))
         self.assertEqual("v2", engine.target_version)
 
-    def test_engine_that_ignores_numbers_takes_it(self) -> None:
+    def test_engine_that_ignores_numbers_accepts_it(self) -> None:
         engine = self.engine(checks=False)
         self.assertTrue(engine.order_version("v2", 7))
         self.assertTrue(engine.order_version("v1", 6))
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Choosing targets when some of them do not answer."""
+"""Choice of targets when some agents do not answer probes."""
 
 from expression import Ok, Result
 from testtools import TestCase
@@ -38,7 +38,7 @@
 
 
 class Port:
-    """Answers probes from a table; the others fail in different ways."""
+    """Answers probes from a table, or fails as the table says."""
 
     def __init__(self, answers: dict[str, object]) -> None:
         self.answers = answers
@@ -57,9 +57,11 @@
 
 
 class ReplanTest(TestCase):
-    """The cheapest target first, those without an answer last."""
+    """Targets are sorted by cost; those without an answer come last."""
 
-    def order(self, answers: dict[str, object], home: str) -> list[str]:
+    def replanned_order(
+        self, answers: dict[str, object], home: str
+    ) -> list[str]:
         clock = VirtualClock()
         placer = ProbingPlacer(
             board=Blackboard(), clock=clock, port=Port(answers)
@@ -78,7 +80,9 @@
             "c": answer_of("c", 0.1, hit_tokens=1900),
             "d": answer_of("d", 0.5),
         }
-        self.assertEqual(["c", "a", "d", "b"], self.order(answers, "a"))
+        self.assertEqual(
+            ["c", "a", "d", "b"], self.replanned_order(answers, "a")
+        )
 
     def test_silent_and_failing_targets_come_last(self) -> None:
         for bad in ("silent", "down", RuntimeError("broken")):
@@ -87,12 +91,12 @@
                     other: answer_of(other, 0.1, 1900) for other in "bcd"
                 }
                 answers[name] = bad
-                order = self.order(answers, "a")
+                order = self.replanned_order(answers, "a")
                 self.assertEqual(name, order[-1], (bad, name, order))
 
 
 class InternalErrorTest(TestCase):
-    """A fault of the program ends the request instead of leaving it."""
+    """An unexpected exception in the router ends the request."""
 
     def test_caller_gets_an_end(self) -> None:
         session = Session()
@@ -107,9 +111,9 @@
         session.do_prompt("q1", "r0", "4", "A briefing.")
         session.do_book("b1", "r0", "k1", "{}")
         session.do_run("3")
-        told = "may_have_run internal_error, come back after 1.0 s"
+        outcome = "may_have_run internal_error, come back after 1.0 s"
         self.assertEqual(
-            [f"{name}: 500 {told}" for name in ("q1", "b1")],
+            [f"{name}: 500 {outcome}" for name in ("q1", "b1")],
             session.lines,
         )
         self.assertEqual(0, router.open_requests)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Parsers meet arbitrary input: an answer or a refusal, never a crash."""
+"""Parsers accept or refuse arbitrary input without raising."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -35,7 +35,7 @@
 
 
 class PropertyTest(TestCase):
-    """Arbitrary input."""
+    """Parsers and folds with generated input."""
 
     @fixed
     @given(WORDS)
@@ -104,7 +104,7 @@
 
     @fixed
     @given(st.binary(), st.integers(1, 20))
-    def test_events_do_not_depend_on_the_cut(
+    def test_events_do_not_depend_on_chunk_boundaries(
         self, data: bytes, size: int
     ) -> None:
         whole = list(sse.EventReader().feed(data))
