--- a/sequoiawind/blackboard.py
+++ b/sequoiawind/blackboard.py
@@ -1,7 +1,7 @@
-"""The blackboard: what one process knows, shared by its controllers.
+"""The blackboard: state that the controllers of one process share.
 
-Controllers read and write it and never call each other.  Each field names
-its one writer.
+Controllers communicate by reading and writing it and never call each other.
+Comments on the fields name the one component that writes them.
 """
 
 from collections import OrderedDict
@@ -20,7 +20,7 @@
 
 @attrs.define(kw_only=True)
 class RequestNote:
-    """What `explain request` tells of a request."""
+    """The data on one request that `explain request` shows."""
 
     request_id: str
     account: str
@@ -38,7 +38,7 @@
     holders: int = 0
     prompt_tokens: int = 0
     cached_tokens: int = 0
-    # Chunks of other attempts that were dropped, and repeated ones.
+    # Dropped chunks: those of other attempts, and repeated ones.
     foreign_chunks: int = 0
     repeated_chunks: int = 0
     first_chunk_s: float = -1.0
@@ -47,13 +47,14 @@
 
 @attrs.define(kw_only=True)
 class Blackboard:
-    """The knowledge of one process."""
+    """State shared by the controllers of one process."""
 
     # Written by the configuration follower.
     folded: Folded = attrs.field(factory=Folded)
-    # When the configuration was last known to be current, in seconds.
+    # When the configuration was last known to be current, in seconds of the
+    # clock; negative if never.
     config_checked_s: float = -1.0
-    # Written by the exchanges and the VM list's watcher.
+    # Written by the exchanges and the watcher of the VM list.
     members: Members = attrs.field(factory=Members)
     # Written by the router.
     limits: AccountLimits = attrs.field(factory=AccountLimits)
@@ -62,7 +63,7 @@
     requests: OrderedDict[str, RequestNote] = attrs.field(factory=OrderedDict)
     # Written by the lifecycle.
     phase: Phase = attrs.field(factory=Phase)
-    # Token digests to accounts and operators, as of `indexed_revision`.
+    # Accounts and operators of `folded` by token digest.
     accounts_by_digest: dict[str, Account] = attrs.field(factory=dict)
     operators_by_digest: dict[str, Operator] = attrs.field(factory=dict)
 
@@ -92,18 +93,18 @@
         }
 
     def offer_config(self, folded: Folded) -> bool:
-        """Take a configuration from elsewhere if it is newer."""
+        """Put a configuration in force if it is newer; whether it was."""
         if folded.next_offset <= self.folded.next_offset:
             return False
         self.put_config(folded)
         return True
 
     def note_request(self, note: RequestNote) -> None:
-        """Keep a note of a request, and forget the oldest."""
+        """Add a request, and evict the oldest above the limit."""
         self.requests[note.request_id] = note
         while len(self.requests) > defaults.EXPLAIN_KEEP:
             self.requests.popitem(last=False)
 
     def snapshot(self) -> str:
-        """Return a snapshot of the configuration."""
+        """Return a snapshot of the configuration as JSON."""
         return config_fold.snapshot(self.folded)
--- a/sequoiawind/config_fold.py
+++ b/sequoiawind/config_fold.py
@@ -1,9 +1,9 @@
-"""The configuration as a fold over the records of its stream.
+"""The configuration as a fold over the records of its log stream.
 
-``fold`` is a pure function of a state and a record: every process that has
-read the same offsets holds the same state.  A record that cannot be read, or
-that has an unknown version, is skipped by all alike.  The state also keeps
-the ids decided lately, so that a sender learns what became of its command.
+``fold`` is a pure function of a state and a record, so all processes that
+have read the same offsets hold the same state.  Every process skips records
+that cannot be decoded or have an unknown version.  The latest decisions are
+kept by command id, so that a sender can look up the result of its command.
 """
 
 import hashlib
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class Decision:
-    """What became of a command."""
+    """The result of a command: accepted, or rejected with a reason."""
 
     id: str
     offset: int
@@ -41,7 +41,7 @@
     decisions: tuple[Decision, ...] = ()
 
     def decision(self, command_id: str) -> Decision | None:
-        """Return what became of a command; None if it was not seen."""
+        """Return the decision on a command; None if it is not known."""
         for decision in reversed(self.decisions):
             if decision.id == command_id:
                 return decision
@@ -49,7 +49,10 @@
 
 
 def fold(folded: Folded, offset: int, data: str) -> Folded:
-    """Return the state after one more record.
+    """Apply one record to a folded state.
+
+    A record that cannot be decoded, or whose command has been decided already,
+    changes only the next offset.
 
     Args:
       folded: The state before the record.
@@ -77,7 +80,7 @@
 
 
 def parse_record(data: str) -> CommandRecord | None:
-    """Return a record, or None if no process can read it."""
+    """Decode a record; None if it is malformed or of an unknown version."""
     try:
         record = wire.decode(data, CommandRecord)
     except wire.WireError:
@@ -90,7 +93,7 @@
 def make_record(
     command_id: str, actor: str, command: commands.Command, based_on: int = -1
 ) -> str:
-    """Return the stored form of a command."""
+    """Return a command as an encoded log record."""
     record = CommandRecord(
         id=command_id,
         actor=actor,
@@ -102,7 +105,7 @@
 
 
 def apply_record(state: State, record: CommandRecord) -> Result[State, str]:
-    """Apply a record to a state, or say why it is rejected."""
+    """Apply a record to a state, or return why it is rejected."""
     if record.based_on not in (-1, state.revision):
         return Error(
             f"based on revision {record.based_on}, but the configuration is "
@@ -120,8 +123,8 @@
 
 @singledispatch
 def apply(command: object, state: State) -> Result[State, str]:
-    """Apply a command to a state, or say why it is rejected."""
-    raise TypeError(f"no rule for {type(command).__name__}")
+    """Apply a command to a state, or return why it is rejected."""
+    raise TypeError(f"cannot apply a {type(command).__name__}")
 
 
 @apply.register
@@ -132,13 +135,13 @@
         return Error(f"{command.table} {command.name!r} already exists")
     fields = {**command.fields, "name": command.name}
     return build_entry(command.table, fields).bind(
-        lambda entry: put(state, command.table, entry)
+        lambda entry: put_entry(state, command.table, entry)
     )
 
 
 @apply.register
 def _(command: commands.Set, state: State) -> Result[State, str]:
-    found = find(state, command.table, command.name)
+    found = find_entry(state, command.table, command.name)
     if found.is_error():
         return Error(found.error)
     fields = attrs.asdict(found.ok)
@@ -146,13 +149,13 @@
         return Error(f"{command.table} have no field {command.field!r}")
     fields[command.field] = command.value
     return build_entry(command.table, fields).bind(
-        lambda entry: put(state, command.table, entry)
+        lambda entry: put_entry(state, command.table, entry)
     )
 
 
 @apply.register
 def _(command: commands.Delete, state: State) -> Result[State, str]:
-    found = find(state, command.table, command.name)
+    found = find_entry(state, command.table, command.name)
     if found.is_error():
         return Error(found.error)
     user = referrer(state, command.table, command.name)
@@ -191,8 +194,8 @@
     return apply(change, state)
 
 
-def find(state: State, table: str, name: str) -> Result[Entry, str]:
-    """Return an entry, or the message that it does not exist."""
+def find_entry(state: State, table: str, name: str) -> Result[Entry, str]:
+    """Return an entry, or an error message if it does not exist."""
     if table not in TABLES:
         return Error(f"no table {table!r}")
     entry = state.table(table).get(name)
@@ -202,7 +205,7 @@
 
 
 def build_entry(table: str, fields: Mapping[str, object]) -> Result[Entry, str]:
-    """Make an entry from its fields, or say what is wrong with them."""
+    """Build an entry from its fields, or return an error message."""
     known = {field.name for field in attrs.fields(TABLES[table])}
     unknown = sorted(set(fields) - known)
     if unknown:
@@ -217,8 +220,11 @@
         return Error(str(error))
 
 
-def put(state: State, table: str, entry: Entry) -> Result[State, str]:
-    """Return a state with an entry added or replaced."""
+def put_entry(state: State, table: str, entry: Entry) -> Result[State, str]:
+    """Return a state with an entry added or replaced.
+
+    An entry that refers to a missing entry yields an error message.
+    """
     for field, other in REFERENCES.get(table, {}).items():
         name = getattr(entry, field)
         if name and name not in state.table(other):
@@ -229,7 +235,11 @@
 
 
 def referrer(state: State, table: str, name: str) -> str:
-    """Return an entry that refers to the given one; empty if none does."""
+    """Return the first entry found that refers to the given one.
+
+    Returns:
+      The table and name of that entry; empty if there is none.
+    """
     for user_table, fields in REFERENCES.items():
         for field, target_table in fields.items():
             if target_table != table:
@@ -249,12 +259,15 @@
 
 
 def digest(state: State) -> str:
-    """Return a digest that is equal exactly for equal states."""
+    """Return the SHA-256 digest of a state, in hexadecimal.
+
+    Two states have the same digest exactly if they are equal.
+    """
     return hashlib.sha256(wire.encode(state)).hexdigest()
 
 
 def snapshot(folded: Folded) -> str:
-    """Return a snapshot: the folded state with its digest, as JSON."""
+    """Return a snapshot as JSON: the folded state and its digest."""
     body = Snapshot(folded=folded, digest=digest(folded.state))
     return wire.encode(body).decode()
 
@@ -265,11 +278,15 @@
         body = wire.decode(data, Snapshot)
     except wire.WireError:
         return None
-    return checked(body)
+    return verify_snapshot(body)
+
 
+def verify_snapshot(body: "Snapshot") -> Folded | None:
+    """Return the state in a decoded snapshot.
 
-def checked(body: "Snapshot") -> Folded | None:
-    """Return the state in a decoded snapshot; None if it is damaged."""
+    Returns:
+      The state; None if the snapshot's version or digest does not match.
+    """
     if body.v != defaults.RECORD_VERSION:
         return None
     if digest(body.folded.state) != body.digest:
@@ -279,7 +296,7 @@
 
 @attrs.frozen(kw_only=True)
 class Snapshot:
-    """The stored form of a folded state."""
+    """A folded state as stored in the log, with a digest to detect damage."""
 
     folded: Folded
     digest: str
--- a/sequoiawind/config_follower.py
+++ b/sequoiawind/config_follower.py
@@ -1,8 +1,9 @@
-"""Following the configuration, and submitting commands to it.
+"""Follows the configuration stream and submits commands to it.
 
-A process starts from whichever answers first, a peer or the log, and then
-reads the log's tail.  A command counts as accepted only after this process
-has read its own record back and folded it as accepted.
+A process takes its first configuration from a peer or from the log, whichever
+answers first, and then reads new records from the log.  A command counts as
+accepted only after this process has read its own record back and folded it as
+accepted.
 """
 
 import random
@@ -21,18 +22,19 @@
 
 @attrs.define(kw_only=True)
 class ConfigFollower:
-    """Keeps a blackboard's configuration current."""
+    """Controller that keeps the configuration on a blackboard current."""
 
     board: Blackboard
     log: LogPort
     clock: Clock
     random: random.Random
-    # Returns the time since the epoch in seconds, as the log stamps records.
+    # Wall clock in seconds since the epoch, comparable to record times.
     wall: Callable[[], float]
     retention_s: float = defaults.LOG_RETENTION_S
     poll_s: float = defaults.CONFIG_POLL_S
     is_stopped: bool = False
-    # When the last snapshot seen was made, in the log's time.
+    # When the log stored the last snapshot read, in seconds since the epoch;
+    # negative before the first.
     snapshot_time_s: float = -1.0
     # Called after each change of the configuration.
     on_change: Callable[[], None] = attrs.field(default=lambda: None)
@@ -51,7 +53,11 @@
             await timing.sleep(self.clock, pause_s)
 
     async def catch_up(self) -> Result[int, Failure]:
-        """Fold all that the log holds."""
+        """Fold all records up to the end of the log.
+
+        Returns:
+          The offset of the next record; or why the log could not be read.
+        """
         while True:
             start = self.board.folded.next_offset
             page = await self.log.read(
@@ -60,12 +66,15 @@
             if page.is_error():
                 return Error(page.error)
             if page.ok.first > self.board.folded.next_offset:
-                found = await self.take_snapshot()
+                found = await self.load_snapshot()
                 if found.is_error():
                     return found
                 if self.board.folded.next_offset < page.ok.first:
                     return Error(
-                        not_run(Reason.NO_CONFIGURATION, "no snapshot reaches")
+                        not_run(
+                            Reason.NO_CONFIGURATION,
+                            "no snapshot covers the deleted records",
+                        )
                     )
                 continue
             self.fold_records(page.ok.records)
@@ -74,22 +83,26 @@
                 return Ok(self.board.folded.next_offset)
 
     def fold_records(self, records: list[LogRecord]) -> None:
-        """Fold the records that are next, and put the result in force."""
+        """Fold the records that follow on, and put the result in force."""
         folded = self.board.folded
         revision = folded.state.revision
         for record in records:
             if record.offset != folded.next_offset:
                 continue
             folded = config_fold.fold(folded, record.offset, record.data)
-        # Another reader may have been faster while this one waited.
+        # A concurrent reader may have folded more in the meantime.
         if folded.next_offset < self.board.folded.next_offset:
             return
         self.board.put_config(folded)
         if folded.state.revision != revision:
             self.on_change()
 
-    async def take_snapshot(self) -> Result[int, Failure]:
-        """Take the newest readable snapshot in the log."""
+    async def load_snapshot(self) -> Result[int, Failure]:
+        """Apply the newest readable snapshot in the log.
+
+        Returns:
+          The offset of the next record; or why the log could not be read.
+        """
         stream = defaults.SNAPSHOT_STREAM
         page = await self.log.read(stream, defaults.BEYOND_END, 1)
         if page.is_error():
@@ -98,12 +111,12 @@
             page = await self.log.read(stream, offset, 1)
             if page.is_error():
                 return Error(page.error)
-            if any(map(self.see_snapshot, page.ok.records)):
+            if any(map(self.apply_snapshot, page.ok.records)):
                 break
         return Ok(self.board.folded.next_offset)
 
-    def see_snapshot(self, record: LogRecord) -> bool:
-        """Take one snapshot if it is newer than what is in force.
+    def apply_snapshot(self, record: LogRecord) -> bool:
+        """Apply a snapshot if it is newer than the configuration in force.
 
         Returns:
           Whether it could be read.
@@ -117,26 +130,27 @@
         return True
 
     async def snapshot_if_due(self) -> None:
-        """Append a snapshot before the retention takes what it covers.
+        """Append a snapshot before the log deletes the records it covers.
 
-        Processes may race; their snapshots of one offset are equal.
+        Several processes may append one concurrently; snapshots of the same
+        offset are equal.
         """
         if self.board.folded.next_offset == 0 or not self.is_snapshot_due():
             return
-        # The chance spreads the work over daemons that all find it due.
+        # All daemons find the snapshot due; a random choice spreads the work.
         if self.random.random() > defaults.SNAPSHOT_CHANCE:
             return
-        await self.take_snapshot()
+        await self.load_snapshot()
         if not self.is_snapshot_due():
             return
         result = await self.log.append(
             defaults.SNAPSHOT_STREAM, [self.board.snapshot()]
         )
         if result.is_ok():
-            await self.take_snapshot()
+            await self.load_snapshot()
 
     def is_snapshot_due(self) -> bool:
-        """Whether the newest snapshot is too old."""
+        """Whether the newest snapshot is too old, or none has been read."""
         limit_s = self.retention_s * defaults.SNAPSHOT_SHARE_OF_RETENTION
         if self.snapshot_time_s < 0.0:
             return True
@@ -145,16 +159,16 @@
     async def submit(
         self, command: Command, actor: str, based_on: int = -1
     ) -> Result[Decision, Failure]:
-        """Append a command and learn what became of it.
+        """Append a command and wait for the decision on it.
 
         Args:
           command: The command.
-          actor: Who gave it.
-          based_on: The revision it was based on; -1 for any.
+          actor: Name of the operator who submitted it.
+          based_on: The revision that it is based on; -1 for any.
 
         Returns:
-          The decision of the fold; or a failure, whose verdict says whether
-          the command may still come into force.
+          The decision; or a failure, whose verdict says whether the command
+          may still take effect.
         """
         command_id = f"{self.random.getrandbits(96):024x}"
         record = config_fold.make_record(command_id, actor, command, based_on)
--- a/sequoiawind/members.py
+++ b/sequoiawind/members.py
@@ -1,8 +1,9 @@
-"""The targets as one process sees them: four sources joined.
+"""One process's view of the targets, combined from four sources.
 
-The configuration says which targets exist and which an operator drains; the
-platform's list says which VMs live or leave, late and at times wrongly;
-answers carry the agents' own reports; and failed calls show what is dead.
+The configuration lists the targets and those that an operator drains.  The
+platform's list says which VMs are live or leaving, with a delay and at times
+wrongly.  Answers carry load reports of the agents.  Failed calls show which
+targets are down.
 """
 
 import enum
@@ -17,7 +18,7 @@
 
 
 class VmState(enum.Enum):
-    """What the platform's list says of a VM."""
+    """A VM's state in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -34,16 +35,16 @@
 
 @attrs.define(kw_only=True)
 class Health:
-    """What calls to one target have shown."""
+    """The health and load of one target, as calls to it have shown."""
 
     failures: int = 0
     ejections: int = 0
-    # New work goes elsewhere until then, in seconds of the clock.
+    # The target gets no new work until then, in seconds of the clock.
     ejected_until_s: float = 0.0
     load: LoadReport = attrs.field(factory=LoadReport)
     # When `load` was received; negative if never.
     load_time_s: float = -1.0
-    # Attempts of this process under way at the target.
+    # Attempts of this process in progress at the target.
     open_attempts: int = 0
     # Share of the recent attempts that failed, as a moving average.
     failure_share: float = 0.0
@@ -56,25 +57,25 @@
 
 @attrs.define(kw_only=True)
 class Members:
-    """The joined view of one process."""
+    """The combined view of all targets."""
 
     health: dict[str, Health] = attrs.field(factory=dict)
     vms: Mapping[str, VmState] = attrs.field(factory=dict)
 
     def of(self, target: str) -> Health:
-        """Return what is known of a target."""
+        """Return the health of a target; a new one if it is not known yet."""
         if target not in self.health:
             self.health[target] = Health()
         return self.health[target]
 
     def report(self, load: LoadReport, now_s: float) -> None:
-        """Take in a report that came with an answer."""
+        """Store a load report that came with an answer."""
         health = self.of(load.target)
         health.load = load
         health.load_time_s = now_s
 
     def succeeded(self, target: str) -> None:
-        """Note that a target served a request."""
+        """Record a success; it clears failures and ends an ejection."""
         health = self.of(target)
         health.note_outcome(False)
         health.failures = 0
@@ -82,10 +83,10 @@
         health.ejected_until_s = 0.0
 
     def failed(self, target: str, now_s: float) -> None:
-        """Note a failure of the target itself, and eject it after several.
+        """Record a failure of the target itself; several in a row eject it.
 
-        After the ejection one more failure ejects it again, for longer: the
-        first request let through serves as the probe.
+        After the ejection a single failure ejects the target again, for
+        longer: the first request let through serves as the probe.
         """
         health = self.of(target)
         health.note_outcome(True)
@@ -117,23 +118,23 @@
         health = self.of(target.name)
         if not health.load.draining:
             return False
-        # A report ages: the agent may have been replaced and be serving.
+        # Ignore an old report: the agent may have been replaced and be serving.
         age_s = now_s - health.load_time_s
         return age_s < defaults.LOAD_REPORT_LIFETIME_S
 
     def without_leaving(self, targets: list[Target]) -> list[Target]:
-        """Leave out targets on leaving VMs, as far as the list is credible.
+        """Leave out targets on leaving VMs, unless the list seems wrong.
 
-        A list that would take more than a set share of a pool is taken for
-        wrong; the agents' own reports and failed calls then decide.
+        A list that would remove more than a set share of a pool is ignored;
+        then only the agents' own reports and failed calls count.
         """
         staying = [
             target
             for target in targets
             if self.vms.get(target.vm) is not VmState.LEAVING
         ]
-        lost = len(targets) - len(staying)
-        if lost > len(targets) * defaults.LIST_DISTRUST_SHARE:
+        removed = len(targets) - len(staying)
+        if removed > len(targets) * defaults.LIST_DISTRUST_SHARE:
             return targets
         return staying
 
@@ -147,7 +148,7 @@
             for target in targets
             if self.of(target.name).ejected_until_s > now_s
         ]
-        # Those whose ejection ends first are tried again first.
+        # Beyond that share, those whose ejection ends first stay in.
         ejected.sort(key=lambda item: -self.of(item.name).ejected_until_s)
         left_out = {target.name for target in ejected[:allowed]}
         return [item for item in targets if item.name not in left_out]
@@ -155,10 +156,11 @@
     def waits_s(
         self, candidates: Iterable[Candidate], now_s: float
     ) -> dict[str, float]:
-        """Return the wait to expect at each candidate, in seconds.
+        """Return the expected wait at each candidate, in seconds.
 
-        A report is worth less the older it is, and the attempts sent since
-        are counted, so that a lagging report does not attract a herd.
+        A report that is too old is ignored.  The open attempts of this process
+        add to the wait, so that a lagging report does not draw all requests
+        to one target.
         """
         waits: dict[str, float] = {}
         for candidate in candidates:
--- a/sequoiawind/peers.py
+++ b/sequoiawind/peers.py
@@ -36,7 +36,7 @@
         answer = await self.json.call("GET", url, config_fold.Snapshot)
         if answer.is_error():
             return False
-        restored = config_fold.checked(answer.ok)
+        restored = config_fold.verify_snapshot(answer.ok)
         return restored is not None and board.offer_config(restored)
 
     async def tell_demand(self, address: Address, told: DemandMessage) -> None:
--- a/sequoiawind/state.py
+++ b/sequoiawind/state.py
@@ -1,7 +1,7 @@
-"""The configuration: what operators have set, as one immutable value.
+"""The configuration as operators have set it, an immutable value.
 
-A :class:`State` maps table names to objects by name.  Only ``config_fold``
-makes new states.
+A :class:`State` has one mapping for each table, from names to entries.  New
+states are made only by ``config_fold``.
 """
 
 from collections.abc import Mapping
@@ -27,11 +27,11 @@
 
 @attrs.frozen(kw_only=True)
 class Operator:
-    """A person or program that may ask and command."""
+    """A person or program that runs queries or commands."""
 
     name: str
     token_digest: str = ""
-    # "viewer" asks, "operator" also commands.
+    # "viewer" may run queries; "operator" may also run commands.
     role: str = "viewer"
 
 
@@ -44,8 +44,8 @@
     # "idempotent" or "never".
     repeat: str = "idempotent"
     deadline_s: float = defaults.REQUEST_DEADLINE_S
-    # Longest time to the first token, or wait at a plain service, for which
-    # a request is admitted, in seconds.
+    # A request is admitted only if its time to the first token, or its wait
+    # at a plain service, is at most this, in seconds.
     max_first_s: float = defaults.MAX_FIRST_S
 
 
@@ -59,13 +59,13 @@
     model: str = ""
     # Weights version that the pool's targets should serve.
     version: str = ""
-    # Weight loads at once.
+    # Greatest number of concurrent weight loads.
     load_slots: int = 2
 
 
 @attrs.frozen(kw_only=True)
 class Target:
-    """A model engine or plain service, behind its agent."""
+    """A model engine or plain service, reached through its agent."""
 
     name: str
     pool: str = ""
@@ -73,7 +73,7 @@
     agent: str = ""
     domain: str = ""
     vm: str = ""
-    # Why an operator drains the target; empty while it is admitted.
+    # Reason why an operator drained the target; empty while admitted.
     drained: str = ""
 
 
@@ -90,7 +90,7 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Sends requests of a path, and model if any, to a pool."""
+    """Maps requests by path, and by model if set, to a pool."""
 
     name: str
     path: str = ""
@@ -112,12 +112,14 @@
     "routes": Route,
 }
 
-# Fields that name an entry of another table.
+# Fields that refer to an entry of another table: by table and field, the
+# name of the other table.
 REFERENCES: Final[Mapping[str, Mapping[str, str]]] = {
     "targets": {"pool": "pools"},
     "routes": {"pool": "pools", "kind": "kinds", "policy": "policies"},
 }
 
+# Fields that accept only some values, by table and field.
 CHOICES: Final[Mapping[tuple[str, str], frozenset[str]]] = {
     ("operators", "role"): frozenset({"viewer", "operator"}),
     ("kinds", "repeat"): frozenset({"idempotent", "never"}),
@@ -140,7 +142,11 @@
     routes: Mapping[str, Route] = attrs.field(factory=dict)
 
     def table(self, name: str) -> Mapping[str, Entry]:
-        """Return a table by its name; KeyError if there is none."""
+        """Return a table by its name.
+
+        Raises:
+          KeyError: There is no such table.
+        """
         if name not in TABLES:
             raise KeyError(name)
         table: Mapping[str, Entry] = getattr(self, name)
