--- a/sequoiawind/cache_watcher.py
+++ b/sequoiawind/cache_watcher.py
@@ -1,8 +1,9 @@
-"""What targets and keepers really hold, by the changes that they tell of.
+"""Tracks which prompt parts the caches of targets and keepers hold.
 
-A router knows at once what it sent where; only the caches know what they have
-dropped and what other routers sent.  Changes come late and with gaps, so they
-guide placement and never decide whether a cached part may be used.
+A keeper is a pool's store of cached parts.  A router knows immediately what it
+has sent where; only the caches know what they have evicted and what other
+routers sent.  Changes arrive late and with gaps, so they guide placement and
+never decide whether a cached part may be used.
 """
 
 import random
@@ -20,41 +21,44 @@
 
 Logger = structlog.typing.FilteringBoundLogger
 
-# For how long a cache may wait for a change, in seconds; shorter questions
-# count as probes.
+# How long a cache may wait for a change, in seconds (long poll); requests with
+# a shorter wait count as probes.
 WAIT_S: Final = 0.9
-ANSWER_S: Final = 0.5
-# Pause between two questions, so that one answer carries several changes.
-PACE_S: Final = 0.05
-# Pause after a failure, and after a cache that has watchers enough.
+# Time allowed for a response beyond that, in seconds.
+RESPONSE_MARGIN_S: Final = 0.5
+# Pause between two requests, in seconds, so that one response carries several
+# changes.
+POLL_PAUSE_S: Final = 0.05
+# Pause after a failed request, and after a cache that accepts no more watchers,
+# in seconds.
 RETRY_S: Final = 0.5
-CROWDED_RETRY_S: Final = 5.0
+BUSY_RETRY_S: Final = 5.0
 
 
 @attrs.define(kw_only=True)
 class WatchedCache:
-    """A cache and what it holds."""
+    """A cache, the parts it holds, and how far its changes have been read."""
 
     address: str
     held: HeldParts
     epoch: int | None = None
     next_number: int = 0
-    # Whether it answered the last question, if only that it is crowded.
+    # Whether the last request got a response, if only that it is busy.
     is_alive: bool = False
 
-    def take(self, news: CacheNews) -> None:
-        """Take in what has changed."""
-        if news.epoch != self.epoch or news.has_gap:
+    def apply(self, update: CacheNews) -> None:
+        """Apply changes; a restart or a gap first clears the held parts."""
+        if update.epoch != self.epoch or update.has_gap:
             self.held.clear()
-        self.epoch = news.epoch
-        self.next_number = news.next_number
-        for change in news.changes:
+        self.epoch = update.epoch
+        self.next_number = update.next_number
+        for change in update.changes:
             self.held.changed(change.salt, change.part, change.tokens)
 
 
 @attrs.define(kw_only=True)
 class CacheWatcher:
-    """The controller that keeps the held parts right."""
+    """Controller that keeps the held parts of all caches current."""
 
     port: CachePort
     clock: Clock
@@ -64,7 +68,7 @@
     caches: dict[str, WatchedCache] = attrs.field(factory=dict)
 
     def watch(self, name: str, address: str, capacity_tokens: int) -> None:
-        """Begin to watch a cache, unless it is watched."""
+        """Start watching a cache unless it is watched already."""
         if name in self.caches:
             return
         cache = WatchedCache(
@@ -78,43 +82,45 @@
         self.caches.pop(name, None)
 
     async def follow(self, name: str, cache: WatchedCache) -> None:
-        """Ask one cache until it is forgotten."""
+        """Poll one cache until it is forgotten."""
 
         async def step() -> bool:
-            await self.ask(name, cache)
+            await self.poll(name, cache)
             return self.caches.get(name) is cache
 
         await supervise.repeat(step, f"cache {name}", self.clock, self.log)
 
-    async def ask(self, name: str, cache: WatchedCache) -> None:
-        """Ask a cache once, and pause."""
-        answered = await self.port.cache_news(
-            cache.address, cache.next_number, WAIT_S, WAIT_S + ANSWER_S
+    async def poll(self, name: str, cache: WatchedCache) -> None:
+        """Poll a cache once, and pause."""
+        result = await self.port.cache_news(
+            cache.address, cache.next_number, WAIT_S, WAIT_S + RESPONSE_MARGIN_S
         )
-        if answered.is_ok():
-            self.alive(name, cache)
-            cache.take(answered.ok)
-            pause_s = PACE_S
+        if result.is_ok():
+            self.mark_alive(name, cache)
+            cache.apply(result.ok)
+            pause_s = POLL_PAUSE_S
         else:
-            pause_s = self.unanswered(name, cache, answered.error)
+            pause_s = self.mark_failed(name, cache, result.error)
         jittered_s = timing.jittered(pause_s, 0.2, self.random)
         await timing.sleep(self.clock, jittered_s)
 
-    def alive(self, name: str, cache: WatchedCache) -> None:
-        """Note that a cache answers."""
+    def mark_alive(self, name: str, cache: WatchedCache) -> None:
+        """Record that a cache answers."""
         if not cache.is_alive:
             cache.is_alive = True
-            self.log.info("cache heard", cache=name, epoch=cache.epoch)
+            self.log.info("cache answers", cache=name, epoch=cache.epoch)
 
-    def unanswered(
+    def mark_failed(
         self, name: str, cache: WatchedCache, failure: Failure
     ) -> float:
-        """Note a failed question; return the pause before the next."""
+        """Record a failed request; return the pause before the next."""
         if failure.reason is Reason.TARGET_BUSY:
-            self.alive(name, cache)
-            return CROWDED_RETRY_S
+            self.mark_alive(name, cache)
+            return BUSY_RETRY_S
         if cache.is_alive:
             cache.is_alive = False
             cache.held.clear()
-            self.log.warning("cache lost", cache=name, detail=failure.detail)
+            self.log.warning(
+                "cache does not answer", cache=name, detail=failure.detail
+            )
         return RETRY_S
--- a/sequoiawind/engine_watcher.py
+++ b/sequoiawind/engine_watcher.py
@@ -1,9 +1,9 @@
-"""The agent's controller that follows its engine.
+"""Controller of an agent that follows the agent's engine.
 
-It feeds the cache index from the engine's events, asks for the whole list
-after a gap, learns the engine's incarnation and weights version, and orders
-the version that the configuration wants, fenced by the configuration's
-revision.
+It updates the cache index from the engine's events, reads the whole list of
+blocks after a gap, reads the engine's incarnation and weights version, and
+orders the version that the configuration demands, with the configuration's
+revision as fencing number.
 """
 
 import random
@@ -29,13 +29,13 @@
     board: Blackboard
     slots: LoadSlots
     poll_s: float = defaults.EVENTS_POLL_S
-    # Rounds between two reports of the engine.
+    # Rounds between two reads of the engine's load report.
     report_every: int = 10
     rounds: int = 0
     is_stopped: bool = False
-    # Version and revision of the last order given.
+    # Version and revision of the last order.
     ordered: tuple[str, int] = ("", -1)
-    # Whether this target is in its pool's queue for loading, or may be.
+    # Whether this target may be in its pool's queue for loading.
     is_queued: bool = True
 
     async def run(self) -> None:
@@ -46,14 +46,14 @@
             await timing.sleep(self.clock, pause_s)
 
     async def round(self) -> None:
-        """Do one round."""
+        """Do one round: cache events, and now and then the version."""
         await self.follow_cache()
         if self.rounds % self.report_every == 0:
             await self.follow_version()
         self.rounds += 1
 
     async def follow_cache(self) -> None:
-        """Take in new cache events, or the whole list after a gap."""
+        """Apply new cache events, or the whole list after a gap."""
         index = self.agent.index
         if index.needs_resync:
             listed = await self.port.cache_list()
@@ -65,7 +65,7 @@
             index.apply(events.ok)
 
     async def follow_version(self) -> None:
-        """Learn the engine's version, and order the one wanted."""
+        """Read the engine's version; order the pool's if they differ."""
         report = await self.port.load()
         if report.is_error():
             return
@@ -85,10 +85,10 @@
             self.is_queued = False
 
     async def order(self, pool: Pool) -> None:
-        """Order the version wanted, if there is a slot.
+        """Order the pool's version, if there is a slot for loading.
 
-        The order is given again until the engine reports the version: an
-        order to load what is being loaded changes nothing.
+        The order is repeated until the engine reports the version: an order
+        to load what is being loaded changes nothing.
         """
         self.is_queued = True
         state = self.board.state
--- a/sequoiawind/forward_readers.py
+++ b/sequoiawind/forward_readers.py
@@ -1,4 +1,4 @@
-"""What the processes believe by the store's records, and why they changed."""
+"""Readers that apply the store's records to a process and log each change."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class OperatorCodec:
-    """How the operator's records are decoded; given by the adapter."""
+    """Decodes the operator's records; provided by the adapter."""
 
     config_key: str
     weights_prefix: str
@@ -32,7 +32,7 @@
 
 @attrs.define(kw_only=True)
 class OperatorReader:
-    """Takes in configurations and the weights that operators name."""
+    """Applies configurations and the weights versions that operators name."""
 
     board: Blackboard
     codec: OperatorCodec
@@ -47,30 +47,30 @@
     on_config: Callable[[], None] = attrs.field(default=lambda: None)
 
     def replaced(self, records: Sequence[KeyedRecord]) -> None:
-        """Take in the newest records."""
+        """Apply the newest records."""
         for record in records:
-            self.take(record, is_late=True)
+            self.apply(record, is_late=True)
 
     def changed(self, record: KeyedRecord) -> None:
-        """Take in a record that has just been written."""
-        self.take(record, is_late=False)
+        """Apply a newly written record."""
+        self.apply(record, is_late=False)
 
-    def take(self, record: KeyedRecord, is_late: bool) -> None:
-        """Take in a record; one that cannot be read changes nothing."""
+    def apply(self, record: KeyedRecord, is_late: bool) -> None:
+        """Apply a record; one that cannot be decoded changes nothing."""
         if record.value is None:
             return
         try:
             if record.key == self.codec.config_key:
-                self.take_config(self.codec.config(record.value))
+                self.apply_config(self.codec.config(record.value))
             elif record.key.startswith(self.codec.weights_prefix):
                 named = self.codec.weights(record.value)
-                self.take_weights(named.model, named.version, is_late)
+                self.apply_weights(named.model, named.version, is_late)
         except WireError as error:
             self.log.warning(
-                "record not readable", key=record.key, error=str(error)
+                "cannot decode record", key=record.key, error=str(error)
             )
 
-    def take_config(self, state: ForwardState) -> None:
+    def apply_config(self, state: ForwardState) -> None:
         """Put a configuration in force if it is newer."""
         if state.revision <= self.board.state.revision:
             return
@@ -87,36 +87,39 @@
         )
         self.on_config()
 
-    def take_weights(self, model: str, version: int, is_late: bool) -> None:
-        """Note newer weights."""
+    def apply_weights(self, model: str, version: int, is_late: bool) -> None:
+        """Report the weights version that an operator names for a model."""
         self.log.info(
-            "weights named", model=model, version=version, is_late=is_late
+            "weights version named",
+            model=model,
+            version=version,
+            is_late=is_late,
         )
         self.on_weights(model, version, is_late)
 
     def confirmed(self, asked_s: float) -> None:
-        """Note as of when the configuration is current."""
+        """Record the time as of which the configuration is current."""
         if self.freshness is not None:
             self.freshness.confirmed(asked_s)
 
     def store_lost(self, detail: str) -> None:
-        """Note that the store does not answer."""
+        """Log that the store does not answer."""
         age_s = self.freshness.age_s if self.freshness else -1.0
         self.log.warning(
-            "store lost",
+            "store does not answer",
             topic="operator",
             detail=detail,
             config_age_s=round(age_s, 3),
         )
 
     def store_back(self) -> None:
-        """Note that the store answers again."""
-        self.log.info("store regained", topic="operator")
+        """Log that the store answers again."""
+        self.log.info("store answers again", topic="operator")
 
 
 @attrs.define(kw_only=True)
 class TargetReader:
-    """Takes in the entries of the targets."""
+    """Applies the entries of the targets to the fleet."""
 
     fleet: Fleet
     decode: Callable[[str, bytes], Result[ForwardTarget, str]]
@@ -128,39 +131,39 @@
     )
 
     def replaced(self, records: Sequence[KeyedRecord]) -> None:
-        """Take in all entries; those that they lack are gone."""
+        """Apply all entries; targets without one are removed."""
         present = {record.key for record in records if record.value}
         for record in records:
             self.changed(record)
         for name in list(self.fleet.views):
             if name not in present:
-                self.gone(name)
+                self.remove(name)
 
     def changed(self, record: KeyedRecord) -> None:
-        """Take in an entry; one that cannot be read names no target."""
+        """Apply an entry; one that cannot be decoded removes its target."""
         if record.value is None:
-            self.gone(record.key)
+            self.remove(record.key)
             return
         decoded = self.decode(record.key, record.value)
         if decoded.is_error():
             self.log.warning(
-                "target entry not readable",
+                "cannot decode target entry",
                 target=record.key,
                 error=decoded.error[:200],
             )
-            self.gone(record.key)
+            self.remove(record.key)
             return
-        self.take(decoded.ok)
+        self.apply(decoded.ok)
 
-    def take(self, target: ForwardTarget) -> None:
-        """Take in a target."""
+    def apply(self, target: ForwardTarget) -> None:
+        """Add or update a target."""
         before = self.fleet.views.get(target.name)
         was_draining = before is not None and before.target.is_draining
         if self.fleet.put(target):
             self.on_incarnation(target.name)
         if before is None or was_draining != target.is_draining:
             self.log.info(
-                "target entry",
+                "target entry changed",
                 target=target.name,
                 pool=target.pool,
                 address=target.address,
@@ -169,14 +172,14 @@
             )
         self.on_change()
 
-    def gone(self, name: str) -> None:
-        """Note that an entry is gone."""
+    def remove(self, name: str) -> None:
+        """Remove an entry; the fleet may keep the target for a while."""
         if name not in self.fleet.views:
             return
         now_s = self.clock.seconds()
         self.fleet.remove(name, now_s)
         self.log.info(
-            "target entry gone",
+            "target entry removed",
             target=name,
             is_dropped=name not in self.fleet.views,
             judged_in_s=round(max(0.0, self.fleet.judged_at_s - now_s), 3),
@@ -184,15 +187,17 @@
         self.on_change()
 
     def confirmed(self, asked_s: float) -> None:
-        """Judge the entries that are missing."""
+        """Drop targets that have been missing for long enough."""
         self.fleet.judge(self.clock.seconds())
 
     def store_lost(self, detail: str) -> None:
-        """Keep what is known while the store does not answer."""
+        """Keep the known targets while the store does not answer."""
         self.fleet.store_lost()
-        self.log.warning("store lost", topic="targets", detail=detail)
+        self.log.warning(
+            "store does not answer", topic="targets", detail=detail
+        )
 
     def store_back(self) -> None:
-        """Judge missing entries a little later."""
+        """Give missing targets time to register again."""
         self.fleet.store_back(self.clock.seconds())
-        self.log.info("store regained", topic="targets")
+        self.log.info("store answers again", topic="targets")
--- a/sequoiawind/record_follower.py
+++ b/sequoiawind/record_follower.py
@@ -1,9 +1,9 @@
-"""Following the records of one topic of the store.
+"""Follows the records of one topic of the store.
 
-Reads the newest record of each key, then waits for what follows.  Whenever
-that fails or the history is gone, it reads the newest again; what it hands on
-never goes back to an older state, since the readers of the records keep the
-greatest version.
+The follower reads the newest record of each key and then waits for later
+records.  After a failure, or if the records to read next have been deleted, it
+reads the newest ones again.  No reader goes back to an older state by that,
+since readers keep the greatest version.
 """
 
 import random
@@ -26,81 +26,88 @@
 
 Logger = structlog.typing.FilteringBoundLogger
 
-# Pause before the store is asked again after a failure, in seconds, and how
-# far it is spread so that the processes do not ask at once.
+# Pause after a failed read, in seconds, and its jitter as a share of it, so
+# that the processes do not all retry at the same time.
 RETRY_PAUSE_S: Final = 0.25
 RETRY_JITTER: Final = 0.4
-# Time allowed for an answer beyond the time that the store was asked to wait.
-ANSWER_S: Final = 0.8
+# Time allowed for a response, in seconds, beyond the wait asked for.
+RESPONSE_MARGIN_S: Final = 0.8
 
 
 class RecordReader(Protocol):
-    """Takes in the records of a topic."""
+    """Receives the records of a topic."""
 
     def replaced(self, records: Sequence[KeyedRecord]) -> None:
-        """These are the newest records; keys that they lack are dropped."""
+        """Receive the newest record of each key; other keys are dropped."""
 
     def changed(self, record: KeyedRecord) -> None:
-        """A record has been written."""
+        """Receive a newly written record."""
 
     def confirmed(self, asked_s: float) -> None:
-        """All records up to a time are in; seconds of `age_clock`."""
+        """Learn that all records written up to a time have been received.
+
+        Args:
+          asked_s: The time, in seconds of `RecordFollower.age_clock`.
+        """
 
     def store_lost(self, detail: str) -> None:
-        """The store does not answer."""
+        """Learn that the store does not answer."""
 
     def store_back(self) -> None:
-        """The store answers again."""
+        """Learn that the store answers again."""
 
 
 @attrs.define(kw_only=True)
 class RecordFollower:
-    """The controller that keeps one reader up to date."""
+    """Controller that passes the records of a topic to one reader."""
 
     topic: str
     port: RecordPort
     reader: RecordReader
     clock: Clock
     random: random.Random
-    # For how long the store is asked to wait for a change, in seconds.
+    # How long the store may wait for a new record, in seconds (long poll).
     wait_s: float
     # The clock of `RecordReader.confirmed`.
     age_clock: Callable[[], float]
     log: Logger
-    # Pause after a change, in seconds, so that one answer carries several.
+    # Pause after new records, in seconds, so that one response carries more.
     pace_s: float = 0.0
-    # Offset from which to read; None while the newest have to be read first.
+    # Offset of the next read; None if the newest records must be read first.
     offset: int | None = None
-    is_away: bool = False
+    is_store_lost: bool = False
 
     async def run(self) -> None:
         """Follow the records until the process ends."""
         await supervise.repeat(self.follow, self.topic, self.clock, self.log)
 
     async def follow(self) -> bool:
-        """Take a step; a follower goes on for ever."""
+        """Do one step; always returns True, so that the steps never end."""
         await self.step()
         return True
 
     async def step(self) -> None:
-        """Ask the store once, and pause if it did not answer."""
+        """Read from the store once, and pause if that failed."""
         asked_s = self.age_clock()
         if self.offset is None:
-            answered = await self.read_newest()
+            result = await self.read_newest()
         else:
-            answered = await self.port.read(
-                self.topic, self.offset, self.wait_s, self.wait_s + ANSWER_S
+            result = await self.port.read(
+                self.topic,
+                self.offset,
+                self.wait_s,
+                self.wait_s + RESPONSE_MARGIN_S,
             )
-        if answered.is_error():
-            await self.failed(answered.error)
+        if result.is_error():
+            await self.failed(result.error)
             return
-        if self.is_away:
-            self.is_away = False
+        if self.is_store_lost:
+            self.is_store_lost = False
             self.reader.store_back()
-        self.take(answered.ok)
-        if not answered.ok.has_more:
+        self.deliver(result.ok)
+        if not result.ok.has_more:
             self.reader.confirmed(asked_s)
-        if answered.ok.records and self.pace_s:
+        if result.ok.records and self.pace_s:
             await timing.sleep(self.clock, self.pace_s)
 
     async def read_newest(self) -> Result[KeyedPage, ReadFailure]:
@@ -109,20 +116,23 @@
         end: int | None = None
         after = ""
         while True:
-            answered = await self.port.newest(self.topic, after, ANSWER_S)
-            if answered.is_error():
-                return answered
-            page = answered.ok
+            result = await self.port.newest(
+                self.topic, after, RESPONSE_MARGIN_S
+            )
+            if result.is_error():
+                return result
+            page = result.ok
             records += page.records
-            # What changes while the pages are read comes after the first.
+            # Reading on from the end of the first page also yields changes made
+            # while the others were read.
             end = page.end if end is None else end
             if not page.has_more or not page.records:
                 break
             after = page.records[-1].key
         return Result.Ok(KeyedPage(records=records, end=end))
 
-    def take(self, page: KeyedPage) -> None:
-        """Hand a page's records on."""
+    def deliver(self, page: KeyedPage) -> None:
+        """Pass the records of a page to the reader."""
         if self.offset is None:
             self.reader.replaced(page.records)
         else:
@@ -131,12 +141,12 @@
         self.offset = page.end
 
     async def failed(self, failure: ReadFailure) -> None:
-        """Begin anew after a failure."""
+        """Read the newest records next; pause first if the store failed."""
         self.offset = None
         if isinstance(failure, RecordsLost):
             return
-        if not self.is_away:
-            self.is_away = True
+        if not self.is_store_lost:
+            self.is_store_lost = True
             self.reader.store_lost(failure.detail)
         pause_s = timing.jittered(RETRY_PAUSE_S, RETRY_JITTER, self.random)
         await timing.sleep(self.clock, pause_s)
--- a/sequoiawind/record_ports.py
+++ b/sequoiawind/record_ports.py
@@ -1,4 +1,4 @@
-"""Interface to a store of keyed records, of which the newest are kept."""
+"""Interface to a store of keyed records that keeps the newest of each key."""
 
 from typing import Protocol
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyedRecord:
-    """A record; without a value its key is dropped."""
+    """A record; one without a value deletes its key."""
 
     key: str
     value: bytes | None
@@ -18,17 +18,17 @@
 
 @attrs.frozen(kw_only=True)
 class KeyedPage:
-    """Consecutive records, or the newest of some keys."""
+    """Consecutive records, or the newest records of some keys."""
 
     records: list[KeyedRecord]
-    # Offset from which to read on.
+    # Offset of the next read.
     end: int
     has_more: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class RecordsLost:
-    """The records asked for have been deleted; only the newest are left."""
+    """The requested records have been deleted; only the newest are left."""
 
 
 ReadFailure = Failure | RecordsLost
@@ -40,9 +40,22 @@
     async def newest(
         self, topic: str, after: str, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        """Return the newest record of each key behind a key."""
+        """Return the newest record of each key that follows a given key.
+
+        Args:
+          topic: The topic.
+          after: The key; empty to begin with the first one.
+          timeout_s: Time allowed for the response, in seconds.
+        """
 
     async def read(
         self, topic: str, start: int, wait_s: float, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        """Return the records from an offset on, waiting for a first one."""
+        """Return the records from an offset on, waiting for the first.
+
+        Args:
+          topic: The topic.
+          start: The offset.
+          wait_s: How long the store may wait for a record, in seconds.
+          timeout_s: Time allowed for the response, in seconds.
+        """
--- a/sequoiawind/settings_follower.py
+++ b/sequoiawind/settings_follower.py
@@ -1,6 +1,6 @@
 """Follows a settings file while its process runs.
 
-The file is read again on a signal, and now and then without one, since not
+The file is read again on a signal, and also checked periodically, since not
 everything that writes it sends a signal.  A file with faults changes nothing.
 """
 
@@ -17,26 +17,26 @@
 Logger = structlog.typing.FilteringBoundLogger
 T = TypeVar("T")
 
-# How often the file is compared with what was last read, in seconds: the bound
-# on configurations in force is a few seconds, and a read costs microseconds.
-CHECK_S: Final = 1.0
+# Period of the checks for a changed file, in seconds.  A new configuration must
+# be in force within a few seconds, and a read costs microseconds.
+CHECK_PERIOD_S: Final = 1.0
 
 
 @attrs.define(kw_only=True)
 class SettingsFollower(Generic[T]):
-    """The controller that keeps a process's settings up to date."""
+    """Controller that keeps a process's settings up to date."""
 
     file: str
     kind: type[T]
     clock: Clock
     log: Logger
-    # Takes over new settings.
+    # Called with new settings.
     on_change: Callable[[T], None]
-    # The file as last read; None if it could not be.
+    # The file's content as last read; None if that failed.
     content: bytes | None = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Note the file as the process has started with it."""
+        """Read the file with which the process has started."""
         self.content = self.read()
 
     async def run(self) -> None:
@@ -44,18 +44,18 @@
         await supervise.repeat(self.watch, "settings", self.clock, self.log)
 
     async def watch(self) -> bool:
-        """Compare the file once, after a pause; goes on for ever."""
-        await timing.sleep(self.clock, CHECK_S)
+        """Check the file after a pause; always True, so it is repeated."""
+        await timing.sleep(self.clock, CHECK_PERIOD_S)
         self.check()
         return True
 
     def check(self) -> None:
-        """Read the file again if it differs."""
+        """Reload the settings if the file's content has changed."""
         if self.read() != self.content:
             self.reload()
 
     def reload(self) -> None:
-        """Read the file again, whether it differs or not."""
+        """Reload the settings, whether the file has changed or not."""
         self.content = self.read()
         loaded = settings.load(self.file, self.kind)
         if loaded.is_error():
@@ -69,5 +69,5 @@
         try:
             return Path(self.file).read_bytes()
         except OSError as error:
-            self.log.warning("settings file not readable", error=str(error))
+            self.log.warning("cannot read settings file", error=str(error))
             return None
--- a/sequoiawind/status_watcher.py
+++ b/sequoiawind/status_watcher.py
@@ -1,4 +1,4 @@
-"""A router's view of the agents: each is asked to tell of changes."""
+"""Keeps a router's view of its targets' agents current by long polls."""
 
 import random
 from collections.abc import Callable
@@ -22,22 +22,22 @@
 Logger = structlog.typing.FilteringBoundLogger
 
 STATUS_PATH: Final = b"/agent/status"
-# For how long an agent may wait for a change before it answers.
+# How long an agent may wait for a change before it answers, in seconds.
 STATUS_WAIT_S: Final = 0.6
-# Pause after a failed call, in seconds; doubles up to the cap.
+# Pause after a failed call, in seconds, doubled after each up to the cap.
 RETRY_BASE_S: Final = 0.1
 RETRY_CAP_S: Final = 1.0
 
 
 @attrs.define(kw_only=True)
 class AgentClient:
-    """Asks the agents beside targets."""
+    """Reads the status of targets from the agents beside them."""
 
-    # Name of a router that asks; empty for an agent.
+    # Name of the router that calls; empty if an agent calls.
     router: str = ""
     client: Http1Client
     agent_port: int
-    # Time for an answer, the agent's wait for a change included.
+    # Time allowed for a response in seconds, including the agent's wait.
     timeout_s: float
     log: Logger
 
@@ -48,7 +48,8 @@
 
         Args:
           address: Where the target serves.
-          after: The agent waits for a status with a greater number.
+          after: Number of the last status received; the agent waits for a
+            greater one.
 
         Returns:
           The status; None if the agent does not answer.
@@ -67,24 +68,24 @@
             return wire.decode(answered.ok.body, TargetStatus)
         except wire.WireError as error:
             self.log.warning(
-                "status not readable", agent=agent, error=str(error)
+                "cannot decode status", agent=agent, error=str(error)
             )
             return None
 
 
 @attrs.define(kw_only=True)
 class WatchedAgent:
-    """How far one agent has been heard."""
+    """How far the status of one agent has been read."""
 
     # Number of its last status; negative before the first.
     number: int = -1
-    # Questions in a row without an answer.
+    # Failed calls in a row.
     failures: int = 0
 
 
 @attrs.define(kw_only=True)
 class StatusWatcher:
-    """The controller that keeps the fleet's statuses fresh."""
+    """Controller that keeps the statuses of the fleet's targets current."""
 
     fleet: Fleet
     agents: AgentClient
@@ -93,45 +94,45 @@
     log: Logger
     # Called with a target's name after each change.
     on_change: Callable[[str], None] = attrs.field(default=lambda name: None)
-    # Names of the targets whose agents are being asked.
+    # Names of the targets whose agents are polled.
     watched: set[str] = attrs.field(factory=set)
 
     def follow(self) -> None:
-        """Begin to ask the agents of targets that are new."""
+        """Start polling the agents of new targets."""
         for name, view in self.fleet.views.items():
             if view.target.versions and name not in self.watched:
                 self.watched.add(name)
                 Deferred.fromCoroutine(self.watch(name))
 
     async def watch(self, name: str) -> None:
-        """Ask one target's agent for as long as the target exists."""
+        """Poll one target's agent for as long as the target exists."""
         watched = WatchedAgent()
 
         async def step() -> bool:
-            await self.ask(name, watched)
+            await self.poll(name, watched)
             return name in self.fleet.views
 
         await supervise.repeat(step, f"agent {name}", self.clock, self.log)
         self.watched.discard(name)
 
-    async def ask(self, name: str, watched: WatchedAgent) -> None:
-        """Ask an agent once, and pause if it did not answer."""
+    async def poll(self, name: str, watched: WatchedAgent) -> None:
+        """Poll an agent once, and pause if it did not answer."""
         view = self.fleet.views.get(name)
         if view is None:
             return
-        told = await self.agents.status(view.target.address, watched.number)
-        if told is None:
+        status = await self.agents.status(view.target.address, watched.number)
+        if status is None:
             watched.failures += 1
             if watched.failures == 1:
-                self.log.info("agent lost", target=name)
+                self.log.info("agent does not answer", target=name)
             pause_s = min(RETRY_CAP_S, RETRY_BASE_S * 2.0**watched.failures)
             jittered_s = timing.jittered(pause_s, 0.3, self.random)
             await timing.sleep(self.clock, jittered_s)
             return
         if watched.failures or watched.number < 0:
-            self.log.info("agent heard", target=name)
+            self.log.info("agent answers", target=name)
         watched.failures = 0
-        watched.number = told.number
-        if told.target == name:
-            self.fleet.heard(name, told, self.clock.seconds())
+        watched.number = status.number
+        if status.target == name:
+            self.fleet.heard(name, status, self.clock.seconds())
             self.on_change(name)
