--- a/sequoiawind/admin.py
+++ b/sequoiawind/admin.py
@@ -1,7 +1,7 @@
-"""Running an operator's statement, at one router.
+"""Runs operators' statements at one router.
 
-Queries ask all daemons and say who answered.  Commands go through the log
-and are answered once their fate is known.
+Queries collect the reports of all daemons and state how many answered.
+Commands are appended to the log and answered once their result is known.
 """
 
 from collections.abc import Callable, Sequence
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Refusal:
-    """Why a statement was not answered."""
+    """Why a statement was refused, with an HTTP status."""
 
     status: int
     message: str
@@ -34,7 +34,7 @@
 
 @attrs.frozen(kw_only=True)
 class Survey:
-    """What all daemons told."""
+    """The reports of all daemons, and the addresses that did not answer."""
 
     reports: list[DaemonReport]
     expected: int
@@ -43,7 +43,7 @@
 
 @attrs.define(kw_only=True)
 class Admin:
-    """Answers operators."""
+    """Runs the statements of operators."""
 
     name: str
     domain: str
@@ -51,7 +51,7 @@
     follower: ConfigFollower
     claimant: Claimant
     clock: Clock
-    # Asks the daemon at an address for its report.
+    # Requests the report of the daemon at an address.
     ask: AskPeer
     # Addresses of the other routers.
     routers: Sequence[str] = ()
@@ -93,7 +93,7 @@
     async def explain(
         self, statement: ExplainRequest
     ) -> Result[Answer, Refusal]:
-        """Tell what is known of a request."""
+        """Answer with the data on a request."""
         survey = await self.survey()
         found: list[Row] = [
             row
@@ -102,7 +102,7 @@
             if row["id"] == statement.request_id
         ]
         if not found:
-            message = f"no daemon remembers request {statement.request_id}"
+            message = f"no daemon has data on request {statement.request_id}"
             return Ok(self.answer(survey, message=message))
         rows = tuple((name, value) for name, value in found[0].items())
         return Ok(self.answer(survey, columns=("field", "value"), rows=rows))
@@ -113,7 +113,7 @@
         """Record an operator's finding about a key.
 
         A key settled as not run stays refused, because its claimant may be
-        paused and send late; the caller books anew with another key.
+        paused and send late; the caller has to use another key.
         """
         stream = self.claimant.stream(statement.key)
         await stream.catch_up()
@@ -121,7 +121,9 @@
         if entry is None:
             return Error(Refusal(status=404, message="no such key"))
         if entry.outcome is not None and entry.outcome.known:
-            return Error(Refusal(status=409, message="the key has an outcome"))
+            return Error(
+                Refusal(status=409, message="the key already has an outcome")
+            )
         node = claims.Settle(
             key=statement.key,
             ran=statement.ran,
@@ -130,25 +132,25 @@
         )
         appended = await stream.appender.append(claims.make_record(node))
         if appended.is_error() or (await stream.catch_up()).is_error():
-            message = "the log did not confirm; ask again"
+            message = "the log did not confirm the record; try again"
             return Error(Refusal(status=503, message=message))
-        word = "ran" if statement.ran else "not run"
-        message = f"key {statement.key} settled as {word}"
-        return Ok(self.answer(self.alone(), message=message))
+        outcome = "ran" if statement.ran else "not run"
+        message = f"key {statement.key} settled as {outcome}"
+        return Ok(self.answer(self.own_survey(), message=message))
 
     async def change(
         self, statement: Change, operator: Operator
     ) -> Result[Answer, Refusal]:
-        """Submit a command."""
+        """Submit a command and answer with its result."""
         result = await self.follower.submit(
             statement.command, operator.name, statement.based_on
         )
         if result.is_error():
             failure = result.error
-            word = "not accepted"
+            status = "not accepted"
             if failure.verdict is Verdict.MAY_HAVE_RUN:
-                word = "unknown"
-            message = f"{word}: {failure.detail}"
+                status = "unknown"
+            message = f"{status}: {failure.detail}"
             return Error(Refusal(status=503, message=message))
         decision = result.ok
         message = f"accepted at revision {decision.offset}"
@@ -156,7 +158,7 @@
             message = f"rejected: {decision.rejection}"
         return Ok(
             self.answer(
-                self.alone(),
+                self.own_survey(),
                 message=message,
                 is_accepted=not decision.rejection,
             )
@@ -168,21 +170,21 @@
         answers = await gatherResults(
             [self.ask(address) for address in addresses]
         )
-        told = [self.own_report()]
+        received = [self.own_report()]
         missing: list[str] = []
         for address, answer in zip(addresses, answers, strict=True):
             if answer.is_ok():
-                told.append(answer.ok)
+                received.append(answer.ok)
             else:
                 missing.append(address)
         return Survey(
-            reports=told,
+            reports=received,
             expected=1 + len(addresses),
             missing=tuple(missing),
         )
 
-    def alone(self) -> Survey:
-        """Return a survey of this daemon only."""
+    def own_survey(self) -> Survey:
+        """Return the report of this daemon alone, as a survey."""
         return Survey(reports=[self.own_report()], expected=1, missing=())
 
     def agent_addresses(self) -> list[str]:
@@ -205,7 +207,7 @@
         )
 
     def claim_rows(self) -> list[Row]:
-        """Return the claims that this daemon knows of."""
+        """Return the rows of the claims that this daemon has read."""
         rows: list[Row] = []
         for stream in self.claimant.streams.values():
             for entry in stream.table.entries.values():
@@ -220,7 +222,7 @@
         message: str = "",
         is_accepted: bool = True,
     ) -> Answer:
-        """Return an answer with its origin."""
+        """Return an answer that states which daemons it covers."""
         checked_s = self.board.config_checked_s
         age_s = self.clock.seconds() - checked_s if checked_s >= 0 else -1.0
         return Answer(
--- a/sequoiawind/commands.py
+++ b/sequoiawind/commands.py
@@ -1,7 +1,7 @@
 """Commands that change the configuration, and the records that carry them.
 
-A command node is plain data.  ``config_fold`` gives each its meaning, and
-``language`` makes them from operators' text.
+A command node is plain data: ``language`` parses it from operators' text, and
+``config_fold`` applies it to the configuration.
 """
 
 import attrs
@@ -40,7 +40,7 @@
 
 @attrs.frozen(kw_only=True)
 class Drain:
-    """Give a target no new work."""
+    """Stop giving new work to a target."""
 
     target: str
     because: str
@@ -48,7 +48,7 @@
 
 @attrs.frozen(kw_only=True)
 class Admit:
-    """Give a drained target work again."""
+    """Give new work to a drained target again."""
 
     target: str
 
@@ -76,13 +76,13 @@
 
 @attrs.frozen(kw_only=True)
 class CommandRecord:
-    """A command as it stands in the configuration stream."""
+    """A command as stored in the configuration stream."""
 
-    # Unique; by it the sender finds its own record again.
+    # Unique; the sender finds the decision on its own record by it.
     id: str
     actor: str
     verb: str
     body: dict[str, object]
-    # Revision the command was based on; -1 for any.
+    # Revision that the command is based on; -1 for any.
     based_on: int = -1
     v: int = defaults.RECORD_VERSION
--- a/sequoiawind/invariants.py
+++ b/sequoiawind/invariants.py
@@ -1,7 +1,7 @@
-"""The promises to users, asserted inside the program.
+"""Guarantees to users, asserted at run time.
 
-Each function checks one promise where it could be broken.  A violation
-raises :class:`InvariantError` and is kept, so that a run that swallows the
+Each function checks one guarantee where it could be violated.  A violation
+raises :class:`InvariantError` and is recorded, so that a run that swallows the
 exception still fails at its end.
 """
 
@@ -11,18 +11,18 @@
 
 
 class InvariantError(AssertionError):
-    """A promise was about to be broken."""
+    """A guarantee was about to be violated."""
 
 
 # Violations seen by this process.
 violations: Final[list[str]] = []
 
 
-def check(is_held: bool, promise: str, detail: str) -> None:
-    """Raise and remember a violation unless the promise is held."""
-    if is_held:
+def check(is_satisfied: bool, guarantee: str, detail: str) -> None:
+    """Record and raise a violation unless the guarantee holds."""
+    if is_satisfied:
         return
-    text = f"{promise}: {detail}"
+    text = f"{guarantee}: {detail}"
     violations.append(text)
     raise InvariantError(text)
 
--- a/sequoiawind/language.py
+++ b/sequoiawind/language.py
@@ -1,8 +1,8 @@
-"""The operators' query and command language: from text to nodes.
+"""Parser of the operators' query and command language.
 
 ``parse`` turns a statement into a node: a query of this module or a command
 of ``commands``.  A statement that cannot be parsed yields an error that
-points at the place in the text.
+marks the place in the text.
 """
 
 from importlib import resources
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExplainRequest:
-    """Show what became of a request, and why."""
+    """Show what happened to a request, and why."""
 
     request_id: str
 
@@ -77,7 +77,7 @@
 
 @attrs.frozen(kw_only=True)
 class SyntaxFault:
-    """A place where a statement cannot be understood."""
+    """The place where a statement cannot be parsed."""
 
     text: str
     # Column of the fault, from 1.
@@ -105,17 +105,17 @@
     line = " ".join(text.split())
     try:
         tree = PARSER.parse(line)
-        statement: Statement = Nodes().transform(tree)
+        statement: Statement = NodeBuilder().transform(tree)
     except lark.UnexpectedInput as fault:
         return Error(syntax_fault(line, fault))
     return Ok(statement)
 
 
 def parse_changes(text: str) -> Result[list[Change], str]:
-    """Parse commands, one a line; empty lines and lines from # on are none.
+    """Parse commands, one per line; skip empty lines and lines starting with #.
 
     Returns:
-      The commands; or the first line that is not one, and why.
+      The commands; or the number of the first faulty line and its fault.
     """
     changes: list[Change] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -131,7 +131,7 @@
 
 
 def commands_of(text: str) -> list[commands.Command]:
-    """Return the commands of a text that is known to be right.
+    """Return the commands of a text that is known to be valid.
 
     Raises:
       ValueError: A line is not a command.
@@ -152,14 +152,14 @@
         names = fault.accepts or fault.expected
         if fault.token.type == "$END":
             column = len(line) + 1
-    expected = ", ".join(sorted(readable(name) for name in names))
+    expected = ", ".join(sorted(terminal_label(name) for name in names))
     return SyntaxFault(
         text=line, column=column, expected=expected or "nothing more"
     )
 
 
-def readable(terminal: str) -> str:
-    """Return how a message names a terminal of the grammar."""
+def terminal_label(terminal: str) -> str:
+    """Return the name of a grammar terminal in error messages."""
     names = {
         "TABLE": "a table",
         "ENTITY": "target, account, operator, route, pool, kind or policy",
@@ -179,7 +179,7 @@
     return names.get(terminal, terminal.lower())
 
 
-class Nodes(lark.Transformer[lark.Token, Any]):
+class NodeBuilder(lark.Transformer[lark.Token, Any]):
     """Builds nodes from the parse tree; a method for each rule."""
 
     def start(self, items: list[Any]) -> Any:
@@ -187,11 +187,11 @@
         return items[0]
 
     def name(self, items: list[lark.Token]) -> str:
-        """Return a name, freed of its quotes."""
+        """Return a name without quotes."""
         return str(items[0]).strip('"')
 
     def value(self, items: list[lark.Token]) -> Value:
-        """Return a value by the look of it."""
+        """Return a number, a truth value or a text without quotes."""
         token = items[0]
         if token.type == "NUMBER":
             return float(token) if "." in token else int(token)
@@ -214,7 +214,7 @@
         return {"count_by": str(items[0])}
 
     def order_by(self, items: list[lark.Token]) -> dict[str, Any]:
-        """Return the order."""
+        """Return the field and direction to order by."""
         is_descending = len(items) > 1 and items[1].lower() == "desc"
         return {"order_by": str(items[0]), "is_descending": is_descending}
 
@@ -230,15 +230,15 @@
         return Show(table=str(items[0]).lower(), **clauses)
 
     def explain(self, items: list[str]) -> ExplainRequest:
-        """Return a question about a request."""
+        """Return the query about a request."""
         return ExplainRequest(request_id=items[0])
 
     def because(self, items: list[lark.Token]) -> dict[str, Any]:
-        """Return a reason."""
+        """Return the reason of a command."""
         return {"because": str(items[0]).strip('"')}
 
     def based_on(self, items: list[lark.Token]) -> dict[str, Any]:
-        """Return a revision."""
+        """Return the revision that a command is based on."""
         return {"based_on": int(items[0])}
 
     def assignment(self, items: list[Any]) -> tuple[str, Value]:
@@ -246,39 +246,39 @@
         return str(items[0]), items[1]
 
     def drain(self, items: list[Any]) -> Change:
-        """Return a drain."""
-        clauses = merged(items[1:])
+        """Return a drain command."""
+        clauses = merge_clauses(items[1:])
         because = clauses.pop("because", "")
         node = commands.Drain(target=items[0], because=because)
         return Change(command=node, **clauses)
 
     def admit(self, items: list[Any]) -> Change:
-        """Return an admission."""
+        """Return an admit command."""
         node = commands.Admit(target=items[0])
-        return Change(command=node, **merged(items[1:]))
+        return Change(command=node, **merge_clauses(items[1:]))
 
     def reprioritise(self, items: list[Any]) -> Change:
-        """Return a change of priority."""
+        """Return a command that sets the priority of a kind."""
         node = commands.Set(
             table="kinds",
             name=items[0],
             field="priority",
             value=int(items[1]),
         )
-        return Change(command=node, **merged(items[2:]))
+        return Change(command=node, **merge_clauses(items[2:]))
 
     def set(self, items: list[Any]) -> Change:
-        """Return a change of a field."""
+        """Return a set command."""
         node = commands.Set(
             table=ENTITY_TABLES[items[1].lower()],
             name=items[2],
             field=str(items[0]),
             value=items[3],
         )
-        return Change(command=node, **merged(items[4:]))
+        return Change(command=node, **merge_clauses(items[4:]))
 
     def create(self, items: list[Any]) -> Change:
-        """Return a creation."""
+        """Return a create command."""
         pairs = [item for item in items[2:] if isinstance(item, tuple)]
         clauses = [item for item in items[2:] if isinstance(item, dict)]
         node = commands.Create(
@@ -286,19 +286,19 @@
             name=items[1],
             fields=dict(pairs),
         )
-        return Change(command=node, **merged(clauses))
+        return Change(command=node, **merge_clauses(clauses))
 
     def delete(self, items: list[Any]) -> Change:
-        """Return a deletion."""
+        """Return a delete command."""
         node = commands.Delete(
             table=ENTITY_TABLES[items[0].lower()], name=items[1]
         )
-        return Change(command=node, **merged(items[2:]))
+        return Change(command=node, **merge_clauses(items[2:]))
 
     def load(self, items: list[Any]) -> Change:
-        """Return an order to load weights."""
+        """Return a load command."""
         node = commands.Load(version=items[0], pool=items[1])
-        return Change(command=node, **merged(items[2:]))
+        return Change(command=node, **merge_clauses(items[2:]))
 
     def settle(self, items: list[Any]) -> SettleKey:
         """Return an operator's finding about a key."""
@@ -309,8 +309,8 @@
         )
 
 
-def merged(clauses: list[dict[str, Any]]) -> dict[str, Any]:
-    """Return clauses as one dictionary."""
+def merge_clauses(clauses: list[dict[str, Any]]) -> dict[str, Any]:
+    """Merge clauses into one dictionary."""
     result: dict[str, Any] = {}
     for clause in clauses:
         result |= clause
--- a/sequoiawind/lifecycle.py
+++ b/sequoiawind/lifecycle.py
@@ -1,8 +1,8 @@
-"""The life of a daemon: starting, serving, leaving, draining, stopped.
+"""Lifecycle of a daemon: starting, serving, leaving, draining, stopped.
 
-A state machine makes the order of the steps explicit: a daemon that leaves is
-no longer ready but takes work until the balancer has noticed, one that drains
-takes none, and it stops only when nothing is in flight.
+A state machine makes the order of the phases explicit.  A leaving daemon is no
+longer ready but accepts work until the balancer has noticed, a draining one
+accepts none, and it stops only when nothing is in flight.
 """
 
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 
 
 class Lifecycle(Protocol):
-    """Events in the life of a daemon."""
+    """Events in the lifecycle of a daemon."""
 
     def ready(self) -> None:
         """The daemon can serve."""
 
     def shut_down(self) -> None:
-        """The daemon has been told to stop."""
+        """The daemon has been asked to stop."""
 
     def balancer_noticed(self) -> None:
         """The balancer sends nothing more."""
@@ -30,7 +30,7 @@
 
 @attrs.define(kw_only=True)
 class Phase:
-    """What the rest of the daemon may ask about its life."""
+    """The current phase, for the rest of the daemon to read."""
 
     name: str = "starting"
     # Called when the daemon has stopped.
@@ -38,7 +38,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new work is welcome."""
+        """Whether the daemon is ready for new work."""
         return self.name == "serving"
 
     @property
--- a/sequoiawind/peers.py
+++ b/sequoiawind/peers.py
@@ -1,4 +1,4 @@
-"""Controllers that talk to other daemons and to the platform's VM list."""
+"""Controllers that call other daemons and read the platform's VM list."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -31,7 +31,7 @@
         return Deferred.fromCoroutine(self.json.call("GET", url, DaemonReport))
 
     async def config(self, address: Address, board: Blackboard) -> bool:
-        """Take a peer's configuration if it is newer than the board's."""
+        """Adopt a peer's configuration if it is newer; whether it was."""
         url = f"http://{address}/peer/config"
         answer = await self.json.call("GET", url, config_fold.Snapshot)
         if answer.is_error():
@@ -39,15 +39,17 @@
         restored = config_fold.verify_snapshot(answer.ok)
         return restored is not None and board.offer_config(restored)
 
-    async def tell_demand(self, address: Address, told: DemandMessage) -> None:
-        """Tell a router what demand this one sees."""
+    async def send_demand(
+        self, address: Address, message: DemandMessage
+    ) -> None:
+        """Send the demand that this router sees to another router."""
         url = f"http://{address}/peer/demand"
-        await self.json.call("POST", url, dict[str, Any], told)
+        await self.json.call("POST", url, dict[str, Any], message)
 
 
 @attrs.define(kw_only=True)
 class ConfigSeeker:
-    """Gets a first configuration from whichever peer answers."""
+    """Controller that gets a first configuration from any peer."""
 
     peers: PeerClient
     board: Blackboard
@@ -58,7 +60,7 @@
     on_found: Callable[[], None] = attrs.field(default=lambda: None)
 
     async def run(self) -> None:
-        """Ask all peers until there is a configuration from anywhere."""
+        """Poll all peers until there is a configuration from any source."""
         while self.board.folded.next_offset == 0:
             for address in self.addresses:
                 Deferred.fromCoroutine(self.ask(address))
@@ -66,14 +68,14 @@
         self.on_found()
 
     async def ask(self, address: Address) -> None:
-        """Ask one peer."""
+        """Request the configuration of one peer."""
         if await self.peers.config(address, self.board):
             self.on_found()
 
 
 @attrs.define(kw_only=True)
 class DemandTeller:
-    """Tells the other routers the demand by account."""
+    """Controller that sends the demand by account to the other routers."""
 
     name: str
     peers: PeerClient
@@ -82,30 +84,31 @@
     addresses: Sequence[Address]
 
     async def run(self) -> None:
-        """Tell once a period."""
+        """Send the demand once per period."""
         self.board.limits.period_s = self.period_s()
         while True:
             await timing.sleep(self.clock, self.board.limits.period_s)
             demand = self.board.limits.exchange()
-            told = DemandMessage(router=self.name, demand=demand)
+            message = DemandMessage(router=self.name, demand=demand)
             for address in self.addresses:
-                Deferred.fromCoroutine(self.peers.tell_demand(address, told))
+                Deferred.fromCoroutine(self.peers.send_demand(address, message))
 
     def period_s(self) -> float:
-        """Return the time between messages: longer with more routers.
+        """Return the time between messages in seconds.
 
-        Every router tells every other, within a budget in bytes a second.
+        It grows with the number of routers: every router sends to every other,
+        within a budget in bytes per second.
         """
-        bytes_a_round = len(self.addresses) * defaults.DEMAND_MESSAGE_B
+        bytes_per_round = len(self.addresses) * defaults.DEMAND_MESSAGE_B
         return max(
             defaults.LIMIT_SHARE_PERIOD_S,
-            bytes_a_round / defaults.DEMAND_BUDGET_B_PER_S,
+            bytes_per_round / defaults.DEMAND_BUDGET_B_PER_S,
         )
 
 
 @attrs.frozen(kw_only=True)
 class VmEntry:
-    """A line of the platform's list of VMs."""
+    """An entry of the platform's list of VMs."""
 
     vm: str
     # "live" or "leaving".
@@ -114,7 +117,7 @@
 
 @attrs.define(kw_only=True)
 class VmListWatcher:
-    """Follows the platform's list of VMs."""
+    """Controller that follows the platform's list of VMs."""
 
     json: JsonClient
     address: Address
@@ -130,16 +133,17 @@
             await timing.sleep(self.clock, pause_s)
 
     def period_s(self) -> float:
-        """Return the time between polls: longer for a longer list.
+        """Return the time between polls in seconds.
 
-        A poll transfers the whole list, which has a budget in bytes a second.
+        It grows with the list: a poll transfers all of it, within a budget in
+        bytes per second.
         """
         size_b = len(self.board.members.vms) * defaults.VM_LIST_LINE_B
         budget_s = size_b / defaults.VM_LIST_BUDGET_B_PER_S
         return max(defaults.VM_LIST_POLL_S, budget_s)
 
     async def round(self) -> None:
-        """Read the list once; an unreadable one changes nothing."""
+        """Read the list once; a failed read changes nothing."""
         url = f"http://{self.address}/vms"
         answer = await self.json.call("GET", url, list[VmEntry])
         if answer.is_error():
@@ -150,7 +154,7 @@
 
 
 def vm_state(text: str) -> VmState:
-    """Return a VM's state as the list writes it."""
+    """Parse a VM's state as listed; any other text than leaving is live."""
     if text == VmState.LEAVING.value:
         return VmState.LEAVING
     return VmState.LIVE
--- a/sequoiawind/ports.py
+++ b/sequoiawind/ports.py
@@ -24,7 +24,7 @@
 
 
 class Sink(Protocol):
-    """Receives what an attempt yields; ``ended`` is called exactly once."""
+    """Receives the events of an attempt; ``ended`` is called exactly once."""
 
     def started(self, load: LoadReport) -> None:
         """The attempt has been admitted."""
@@ -47,7 +47,7 @@
     """Opens attempts: at agents for a router, at targets for an agent."""
 
     def open(self, address: str, attempt: Attempt, sink: Sink) -> Call:
-        """Start an attempt and deliver what it yields to the sink."""
+        """Start an attempt and deliver its events to the sink."""
 
 
 class ProbePort(Protocol):
@@ -56,7 +56,7 @@
     def probe(
         self, address: str, probe: Probe
     ) -> Deferred[Result[ProbeAnswer, Failure]]:
-        """Ask the agent of an address."""
+        """Send a probe to the agent at an address."""
 
 
 @attrs.frozen(kw_only=True)
@@ -104,7 +104,7 @@
         """Cancel the call."""
 
     def active(self) -> bool:
-        """Whether the call is still to come."""
+        """Whether the call is still pending."""
 
 
 class Clock(Protocol):
@@ -124,7 +124,7 @@
 
 
 class EnginePort(Protocol):
-    """What an agent asks of its engine besides attempts."""
+    """Requests of an agent to its engine, other than attempts."""
 
     def events_after(
         self, sequence: int
@@ -140,4 +140,12 @@
     def order_version(
         self, version: str, fencing: int
     ) -> Deferred[Result[bool, Failure]]:
-        """Order other weights; whether the engine took the order."""
+        """Order the engine to load a weights version.
+
+        Args:
+          version: The version.
+          fencing: The fencing number of the order.
+
+        Returns:
+          Whether the engine took the order.
+        """
--- a/sequoiawind/query.py
+++ b/sequoiawind/query.py
@@ -1,7 +1,7 @@
-"""Answering the queries of the operators' language from rows.
+"""Evaluates queries of the operators' language over rows.
 
 The rows come from the configuration and from the daemons' reports; each
-answer says how much of the system it speaks for.
+answer states which part of the daemons it covers.
 """
 
 import operator
@@ -27,7 +27,7 @@
     ">=": operator.ge,
     "contains": lambda have, part: str(part) in str(have),
 }
-# Tables whose rows are the configuration alone.
+# Tables whose rows come from the configuration alone.
 CONFIG_TABLES: Final = ("accounts", "operators", "routes", "pools", "kinds")
 SECRET_FIELDS: Final = frozenset({"token_digest"})
 
@@ -38,7 +38,7 @@
 
     # Revision of the configuration that the answer is based on.
     revision: int
-    # Daemons that were asked and that answered.
+    # Number of daemons that were asked, and of those that answered.
     expected: int
     answered: int
     # Names or addresses of those that did not answer.
@@ -47,7 +47,7 @@
     oldest_s: float = 0.0
     columns: tuple[str, ...] = ()
     rows: tuple[tuple[Scalar, ...], ...] = ()
-    # What became of a command; empty for a query.
+    # Result of a command, or why a query has no rows; else empty.
     message: str = ""
     # Whether a command was accepted; true for a query.
     is_accepted: bool = True
@@ -96,51 +96,52 @@
     reports: Sequence[DaemonReport],
     now_s: float,
 ) -> list[Row]:
-    """Return the targets: configured, as seen here, and as their agents say.
+    """Return the targets, by configuration, this router and their agents.
 
-    An agent's own word on its queue goes before a router's view; a target
-    whose agent did not answer is shown as this router sees it.
+    What an agent reports of its queue takes precedence over this router's
+    view.  A target whose agent did not answer is shown as this router sees it,
+    and as stuck unless it drains.
     """
-    told = rows_by_name(reports, "targets")
+    reported = rows_by_name(reports, "targets")
     rows: list[Row] = []
     for target in state.targets.values():
         health = members.of(target.name)
-        own = told.get(target.name, {})
-        word = members.state_of(target, now_s).value
-        if word in ("warm", "running") and own:
-            word = str(own["state"])
-        if not own:
-            word = "stuck" if word != "draining" else word
+        agent_row = reported.get(target.name, {})
+        state_name = members.state_of(target, now_s).value
+        if state_name in ("warm", "running") and agent_row:
+            state_name = str(agent_row["state"])
+        if not agent_row:
+            state_name = "stuck" if state_name != "draining" else state_name
         rows.append(
             {
                 "name": target.name,
                 "pool": target.pool,
-                "state": word,
+                "state": state_name,
                 "domain": target.domain,
-                "queue": own.get("queue", health.load.queued),
-                "running": own.get("running", health.load.running),
-                "wait_s": own.get("wait_s", health.load.wait_s),
-                "blocks": own.get("blocks", 0),
-                "version": own.get("version", health.load.version),
-                "incarnation": own.get("incarnation", ""),
+                "queue": agent_row.get("queue", health.load.queued),
+                "running": agent_row.get("running", health.load.running),
+                "wait_s": agent_row.get("wait_s", health.load.wait_s),
+                "blocks": agent_row.get("blocks", 0),
+                "version": agent_row.get("version", health.load.version),
+                "incarnation": agent_row.get("incarnation", ""),
                 "agent": target.agent,
-                "because": target.drained or own.get("drained", ""),
-                "reported": bool(own),
+                "because": target.drained or agent_row.get("drained", ""),
+                "reported": bool(agent_row),
             }
         )
     return rows
 
 
 def order_rows(state: State, reports: Sequence[DaemonReport]) -> list[Row]:
-    """Return the weights each target should serve, and what it does serve."""
-    told = rows_by_name(reports, "targets")
+    """Return the wanted and the served weights version of each target."""
+    reported = rows_by_name(reports, "targets")
     rows: list[Row] = []
     for target in state.targets.values():
         pool = state.pools.get(target.pool)
         if pool is None or pool.service != "engine":
             continue
-        own = told.get(target.name, {})
-        serves = str(own.get("version", "unknown"))
+        agent_row = reported.get(target.name, {})
+        serves = str(agent_row.get("version", "unknown"))
         rows.append(
             {
                 "target": target.name,
@@ -148,14 +149,14 @@
                 "wanted": pool.version,
                 "serves": serves,
                 "state": "done" if serves == pool.version else "pending",
-                "fenced": own.get("fenced", "unknown"),
+                "fenced": agent_row.get("fenced", "unknown"),
             }
         )
     return rows
 
 
 def rows_by_name(reports: Sequence[DaemonReport], table: str) -> dict[str, Row]:
-    """Return the reported rows of a table by their names."""
+    """Return the reported rows of a table by name."""
     return {
         str(row["name"]): row
         for report in reports
@@ -189,7 +190,7 @@
     if fault:
         return Error(f"{query.table} have no field {fault!r}")
     for condition in query.where:
-        kept = [row for row in kept if holds(condition, row)]
+        kept = [row for row in kept if matches(condition, row)]
     if query.count_by:
         counts = Counter(row[query.count_by] for row in kept)
         columns = (query.count_by, "count")
@@ -222,8 +223,8 @@
     return ""
 
 
-def holds(condition: Condition, row: Row) -> bool:
-    """Whether a row meets a condition; values of other types do not."""
+def matches(condition: Condition, row: Row) -> bool:
+    """Whether a row meets a condition; never if the types do not compare."""
     have = row[condition.field]
     want = condition.value
     if isinstance(have, str) and not isinstance(want, str):
@@ -242,7 +243,7 @@
 
 
 def as_table(answer: Answer) -> str:
-    """Return an answer as text, with its origin in the last line."""
+    """Return an answer as text; the last line states what it covers."""
     lines: list[str] = []
     if answer.message:
         lines.append(answer.message)
@@ -250,8 +251,8 @@
         cells = [answer.columns, *answer.rows]
         texts = [[str(cell) for cell in row] for row in cells]
         widths = [
-            max(len(row[place]) for row in texts)
-            for place in range(len(answer.columns))
+            max(len(row[index]) for row in texts)
+            for index in range(len(answer.columns))
         ]
         for row in texts:
             padded = [
@@ -259,12 +260,12 @@
                 for cell, width in zip(row, widths, strict=True)
             ]
             lines.append("  ".join(padded).rstrip())
-    lines.append(origin(answer))
+    lines.append(coverage(answer))
     return "\n".join(lines)
 
 
-def origin(answer: Answer) -> str:
-    """Return what an answer speaks for."""
+def coverage(answer: Answer) -> str:
+    """Return the revision, the daemons covered and the age of an answer."""
     text = (
         f"revision {answer.revision}, {answer.answered} of "
         f"{answer.expected} daemons answered, oldest part "
--- a/sequoiawind/reports.py
+++ b/sequoiawind/reports.py
@@ -1,4 +1,4 @@
-"""What a daemon tells about itself when an operator asks.
+"""Reports of daemons on their own state, for operators' queries.
 
 The rows of all daemons together are the tables of the operators' language.
 """
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class DaemonReport:
-    """One daemon's part of the operators' tables."""
+    """The rows that one daemon adds to the operators' tables."""
 
     daemon: str
     # "router" or "agent".
@@ -44,7 +44,7 @@
 
 
 def agent_target_row(agent: Agent) -> Row:
-    """Return what an agent knows of its target."""
+    """Return an agent's row of its target."""
     state = "running" if agent.queue.running else "warm"
     if agent.draining:
         state = "draining"
@@ -86,7 +86,7 @@
 
 
 def request_row(note: RequestNote, router: str, now_s: float) -> Row:
-    """Return what a router knows of a request."""
+    """Return a router's row of a request."""
     end_s = note.ended_s if note.ended_s >= 0.0 else now_s
     first_s = -1.0
     if note.first_chunk_s >= 0.0:
--- a/sequoiawind/supervise.py
+++ b/sequoiawind/supervise.py
@@ -1,7 +1,7 @@
-"""Controllers that outlive their own faults.
+"""Keeps controllers running after exceptions.
 
-A fault of one step is logged with its traceback and the next step is taken,
-so that a message nobody foresaw does not end a process's view of the others.
+An exception in one step is logged with its traceback and the next step is run,
+so that an unexpected message does not end a process's view of the others.
 """
 
 import traceback
@@ -15,20 +15,21 @@
 
 Logger = structlog.typing.FilteringBoundLogger
 
-# Pause after a fault, in seconds, so that one that stays does not fill the log.
+# Pause after an exception, in seconds, so that a persistent fault does not fill
+# the log.
 FAULT_PAUSE_S: Final = 0.5
 
 
 async def repeat(
     step: Callable[[], Awaitable[bool]], name: str, clock: Clock, log: Logger
 ) -> None:
-    """Take a controller's steps for as long as they return True."""
+    """Run a controller's steps until one returns False."""
     while True:
         try:
             if not await step():
                 return
         except Exception:
-            # Whatever it was, the controller's next step starts afresh.
+            # Whatever the exception was, the next step starts anew.
             log.error(
                 "controller step failed",
                 controller=name,
