--- a/tests/cases.py
+++ b/tests/cases.py
@@ -1,4 +1,4 @@
-"""Case files: named input and expected output, with one updating runner.
+"""Case files: named inputs with expected outputs, and their runner.
 
 A case file is a sequence of cases::
 
--- a/tests/session.py
+++ b/tests/session.py
@@ -1,6 +1,7 @@
-"""Runs whole sessions written as steps, on a seed and a virtual clock.
+"""Runs scripted sessions of the system, on a fixed seed and a virtual clock.
 
-A step is a line; its transcript is what callers and operators were told.
+Each line is a step; the transcript holds the steps and the results that
+callers and operators received.
 Steps: ``prompt ID ROUTER TOKENS TEXT``, ``book ID ROUTER KEY BODY``,
 ``look ID ROUTER``, ``run SECONDS``, ``kill|pause|resume|restart PROCESS``,
 ``crash TARGET SECONDS``, ``log down|up|loses``, ``ops ROUTER STATEMENT``,
@@ -42,16 +43,16 @@
     handling: object = None
 
     def chunk(self, data: bytes) -> None:
-        """Take a chunk."""
+        """Store a chunk of the answer."""
         self.chunks.append(data)
 
     def ended(self, ended: Ended) -> None:
-        """Write down what the caller was told."""
+        """Add the result that the caller received to the transcript."""
         self.end = ended
         self.lines.append(f"{self.name}: {self.told(ended)}")
 
     def told(self, ended: Ended) -> str:
-        """Return what the caller was told."""
+        """Return the result that the caller received, as text."""
         if ended.failure is not None:
             failure = ended.failure
             again = ""
@@ -141,7 +142,7 @@
         return self.router(name).node
 
     def do_account(self, account: str) -> None:
-        """Let another account call from now on."""
+        """Send the following requests for another account."""
         self.account = account
 
     def do_prompt(
@@ -165,8 +166,8 @@
     def do_book(self, name: str, router: str, key: str, body: str) -> None:
         """Send an action that must not repeat."""
         if key not in self.keys:
-            made = keys.make_key(self.rig.wall(), len(self.keys))
-            self.keys[key] = made
+            new_key = keys.make_key(self.rig.wall(), len(self.keys))
+            self.keys[key] = new_key
         request = CallerRequest(
             request_id=name,
             token=self.account,
@@ -200,7 +201,7 @@
             caller.handling = result.ok
 
     def do_run(self, seconds: str) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.rig.advance(self.rig.clock.seconds() + float(seconds))
 
     def do_kill(self, name: str) -> None:
@@ -212,7 +213,7 @@
         self.node(name).pause()
 
     def do_resume(self, name: str) -> None:
-        """Let a paused process go on."""
+        """Resume a paused process."""
         self.node(name).resume()
 
     def do_restart(self, name: str) -> None:
@@ -226,17 +227,17 @@
         """Crash a target."""
         self.rig.agents[name].target.crash(float(seconds))
 
-    def do_log(self, word: str) -> None:
-        """Switch the log's faults."""
-        self.rig.log.is_down = word == "down"
-        self.rig.log.lost_answers = 1.0 if word == "loses" else 0.0
+    def do_log(self, mode: str) -> None:
+        """Take the log down or up, or let it lose its answers."""
+        self.rig.log.is_down = mode == "down"
+        self.rig.log.lost_answers = 1.0 if mode == "loses" else 0.0
 
     def do_leave(self, name: str) -> None:
-        """Let a caller go away."""
+        """Cancel a caller's request, as if the caller had disconnected."""
         self.callers[name].handling.cancel()
 
     def do_executions(self, key: str) -> None:
-        """Write down how often a key's action ran."""
+        """Add to the transcript how often a key's action ran."""
         service = self.rig.agents["service"].target
         assert isinstance(service, PlainModel)
         count = service.by_key[f"{self.account}/{self.keys[key]}"]
@@ -252,7 +253,7 @@
         self.do_run("1.5")
 
     def write_answer(self, result: Result) -> None:
-        """Write down what an operator was told."""
+        """Add the answer that an operator received to the transcript."""
         if result.is_error():
             self.lines.append(f"{result.error.status} {result.error.message}")
             return
@@ -262,15 +263,15 @@
         self.lines += table.splitlines()
 
     def admin(self, name: str) -> Admin:
-        """Return what answers operators at a router."""
-        made = self.router(name)
+        """Return the object that runs operators' statements at a router."""
+        router = self.router(name)
         return Admin(
             name=name,
             domain="d",
-            board=made.board,
-            follower=made.follower,
-            claimant=made.router.claimant,
-            clock=made.router.around.clock,
+            board=router.board,
+            follower=router.follower,
+            claimant=router.router.claimant,
+            clock=router.router.around.clock,
             ask=self.ask,
             routers=[
                 other.node.name
--- a/tests/test_cache_watcher.py
+++ b/tests/test_cache_watcher.py
@@ -1,4 +1,4 @@
-"""What a router learns of caches, and what it does without."""
+"""Tracking of cache contents: changes, restarts, gaps and failures."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeCache:
-    """Answers what a test has laid out, then that it is crowded."""
+    """Returns the answers that a test has prepared, then that it is busy."""
 
     answers: list[Result[CacheNews, Failure]]
 
@@ -30,10 +30,10 @@
         return Error(not_run(Reason.TARGET_BUSY))
 
 
-def news(
+def changes_answer(
     *changes: tuple[str, int], epoch: int = 1, gap: bool = False
 ) -> Result[CacheNews, Failure]:
-    """Return an answer with changes of parts."""
+    """Return an answer that reports changes of parts."""
     return Ok(
         CacheNews(
             epoch=epoch,
@@ -48,7 +48,7 @@
 
 
 class HeldPartsTest(TestCase):
-    """A beginning is held up to its first part that is not whole."""
+    """A prompt is held up to its first part that is not held as a whole."""
 
     def test_held_tokens(self) -> None:
         for changes, expected in (
@@ -74,7 +74,7 @@
 
 
 class WatcherTest(TestCase):
-    """Restarts, gaps and silence leave nothing to count on."""
+    """Restarts, gaps and failures clear what is known of a cache."""
 
     def held_after(self, *answers: Result[CacheNews, Failure]) -> int:
         clock = Clock()
@@ -92,10 +92,19 @@
     def test_changes(self) -> None:
         lost = Error(may_have_run(Reason.CONNECTION_LOST))
         for answers, expected in (
-            ((news(("a", 100)), news(("b", 50))), 150),
-            ((news(("a", 100)), news(("b", 50), epoch=2)), 0),
-            ((news(("a", 100)), news(gap=True)), 0),
-            ((news(("a", 100)), lost), 0),
-            ((news(("a", 100)), lost, news(("a", 100))), 100),
+            ((changes_answer(("a", 100)), changes_answer(("b", 50))), 150),
+            (
+                (
+                    changes_answer(("a", 100)),
+                    changes_answer(("b", 50), epoch=2),
+                ),
+                0,
+            ),
+            ((changes_answer(("a", 100)), changes_answer(gap=True)), 0),
+            ((changes_answer(("a", 100)), lost), 0),
+            (
+                (changes_answer(("a", 100)), lost, changes_answer(("a", 100))),
+                100,
+            ),
         ):
             self.assertEqual(expected, self.held_after(*answers))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -16,8 +16,8 @@
 from sequoiawind.verdict import Verdict
 
 
-class Follower(TestCase):
-    """What the tests of followers share."""
+class FollowerTestCase(TestCase):
+    """Fixture of the tests of followers."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -27,7 +27,7 @@
             clock=self.clock, random=random.Random(1), retention_s=100.0
         )
 
-    def follower(self) -> ConfigFollower:
+    def make_follower(self) -> ConfigFollower:
         return ConfigFollower(
             board=Blackboard(),
             log=self.log,
@@ -37,10 +37,10 @@
             retention_s=100.0,
         )
 
-    def running(self) -> ConfigFollower:
-        made = self.follower()
-        Deferred.fromCoroutine(made.run())
-        return made
+    def start_follower(self) -> ConfigFollower:
+        follower = self.make_follower()
+        Deferred.fromCoroutine(follower.run())
+        return follower
 
     def run_for(self, seconds: float) -> None:
         self.clock.advance_to(self.clock.seconds() + seconds)
@@ -56,11 +56,11 @@
         return results
 
 
-class SubmitTest(Follower):
-    """Accepted is said only of what is in the log and folded."""
+class SubmitTest(FollowerTestCase):
+    """A command is reported as accepted only once it is logged and folded."""
 
     def test_operators_race(self) -> None:
-        first, second = self.running(), self.running()
+        first, second = self.start_follower(), self.start_follower()
         results = [
             self.submit(first, "a", based_on=-1),
             self.submit(second, "b", based_on=0),
@@ -73,12 +73,12 @@
 
     def test_lost_answer_is_resolved_by_reading(self) -> None:
         self.log.lost_answers = 1.0
-        result = self.submit(self.running(), "a")
+        result = self.submit(self.start_follower(), "a")
         self.run_for(3.0)
         self.assertEqual("", result[0].ok.rejection)
 
     def test_outage(self) -> None:
-        follower = self.running()
+        follower = self.start_follower()
         self.log.is_down = True
         result = self.submit(follower, "a")
         self.run_for(5.0)
@@ -88,12 +88,12 @@
     def test_throttled_is_not_run(self) -> None:
         self.log.appends_per_s = 0.0
         self.log.tokens = 0.0
-        result = self.submit(self.running(), "a")
+        result = self.submit(self.start_follower(), "a")
         self.run_for(5.0)
         self.assertEqual(Verdict.NOT_RUN, result[0].error.verdict)
 
     def test_in_force_everywhere_within_5_s(self) -> None:
-        followers = [self.running() for _ in range(100)]
+        followers = [self.start_follower() for _ in range(100)]
         self.run_for(2.0)
         self.submit(followers[0], "a")
         self.run_for(5.0)
@@ -101,57 +101,57 @@
             self.assertIn("a", follower.board.state.kinds)
 
 
-class SnapshotTest(Follower):
-    """Records are covered by snapshots before the retention takes them."""
+class SnapshotTest(FollowerTestCase):
+    """Snapshots cover records before the log's retention deletes them."""
 
     def test_new_process_after_the_retention(self) -> None:
-        keeper = self.running()
-        self.submit(keeper, "a")
+        current = self.start_follower()
+        self.submit(current, "a")
         self.run_for(500.0)
         self.assertEqual([], self.log.stream(defaults.CONFIG_STREAM).records)
-        late = self.running()
+        newcomer = self.start_follower()
         self.run_for(5.0)
         self.assertEqual(
-            config_fold.digest(keeper.board.state),
-            config_fold.digest(late.board.state),
+            config_fold.digest(current.board.state),
+            config_fold.digest(newcomer.board.state),
         )
-        self.assertIn("a", late.board.state.kinds)
+        self.assertIn("a", newcomer.board.state.kinds)
 
-    def test_snapshots_outlive_those_who_saw_the_records(self) -> None:
-        first = self.running()
+    def test_snapshots_outlive_the_readers_of_the_records(self) -> None:
+        first = self.start_follower()
         self.submit(first, "a")
         self.run_for(150.0)
-        second = self.running()
+        second = self.start_follower()
         self.run_for(5.0)
         first.is_stopped = True
         self.run_for(500.0)
         second.is_stopped = True
-        third = self.running()
+        third = self.start_follower()
         self.run_for(5.0)
         self.assertIn("a", third.board.state.kinds)
 
-    def test_reader_that_slept(self) -> None:
-        keeper, sleeper = self.running(), self.follower()
-        Deferred.fromCoroutine(sleeper.catch_up())
+    def test_reader_that_fell_behind(self) -> None:
+        current, lagging = self.start_follower(), self.make_follower()
+        Deferred.fromCoroutine(lagging.catch_up())
         for name in ("a", "b"):
-            self.submit(keeper, name)
+            self.submit(current, name)
             self.run_for(150.0)
-        Deferred.fromCoroutine(sleeper.catch_up())
+        Deferred.fromCoroutine(lagging.catch_up())
         self.run_for(1.0)
-        self.assertEqual({"a", "b"}, set(sleeper.board.state.kinds))
+        self.assertEqual({"a", "b"}, set(lagging.board.state.kinds))
 
     def test_two_outages_in_a_row(self) -> None:
-        keeper = self.running()
-        self.submit(keeper, "a")
+        current = self.start_follower()
+        self.submit(current, "a")
         self.run_for(3.0)
         for _ in range(2):
             self.log.is_down = True
             self.run_for(30.0)
             self.log.is_down = False
             self.run_for(0.5)
-        self.submit(keeper, "b")
+        self.submit(current, "b")
         self.run_for(3.0)
-        self.assertEqual({"a", "b"}, set(keeper.board.state.kinds))
+        self.assertEqual({"a", "b"}, set(current.board.state.kinds))
 
     def test_damaged_snapshot_is_not_taken(self) -> None:
         text = config_fold.snapshot(Folded())
@@ -162,7 +162,7 @@
 
 
 class FoldTest(TestCase):
-    """The fold accepts, rejects and skips alike everywhere."""
+    """Which records the fold accepts, rejects and skips."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -186,13 +186,13 @@
         self.assertEqual({"a"}, set(folded.state.kinds))
         self.assertEqual(4, folded.state.revision)
 
-    def test_a_record_twice_counts_once(self) -> None:
+    def test_duplicate_record_is_applied_once(self) -> None:
         record = self.record(Create(table="kinds", name="a"))
         folded = self.fold(record, record)
         self.assertEqual(0, folded.state.revision)
         self.assertEqual(1, len(folded.decisions))
 
-    def test_references_are_kept(self) -> None:
+    def test_references_are_enforced(self) -> None:
         pool = Create(table="pools", name="p")
         target = Create(table="targets", name="t", fields={"pool": "p"})
         folded = self.fold(
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -22,7 +22,7 @@
 
 
 def parse(text: str) -> str:
-    """Return the node of a statement, or where it is wrong."""
+    """Return a statement's node as text, or its syntax fault."""
     parsed = language.parse(text)
     if parsed.is_error():
         return str(parsed.error)
@@ -31,7 +31,7 @@
 
 
 class GoldenTest(TestCase):
-    """What was seen before is seen again."""
+    """Sessions and statements yield the recorded output."""
 
     def test_nordlys(self) -> None:
         cases.check_file(self, "nordlys.session", play)
@@ -44,9 +44,9 @@
 
 
 class LanguagePageTest(TestCase):
-    """The sessions in docs/LANGUAGE.md are what the system answers."""
+    """The sessions in docs/LANGUAGE.md match the system's output."""
 
-    def replayed(self, block: re.Match[str]) -> str:
+    def replay(self, block: re.Match[str]) -> str:
         steps = [
             line.removeprefix("> ")
             for line in block.group(1).splitlines()
@@ -56,10 +56,10 @@
 
     def test_sessions(self) -> None:
         text = PAGE.read_text(encoding="utf-8")
-        made = re.sub(
-            r"```session\n(.*?)\n```", self.replayed, text, flags=re.S
+        updated = re.sub(
+            r"```session\n(.*?)\n```", self.replay, text, flags=re.S
         )
         if os.environ.get("UPDATE_GOLDEN"):
-            PAGE.write_text(made, encoding="utf-8")
+            PAGE.write_text(updated, encoding="utf-8")
         else:
-            self.assertEqual(text, made)
+            self.assertEqual(text, updated)
