--- a/sequoiawind/admin.py
+++ b/sequoiawind/admin.py
@@ -165,7 +165,7 @@
         )
 
     async def survey(self) -> Survey:
-        """Ask all daemons for their reports."""
+        """Request the reports of all daemons."""
         addresses = [*self.routers, *self.agent_addresses()]
         answers = await gatherResults(
             [self.ask(address) for address in addresses]
--- a/sequoiawind/peers.py
+++ b/sequoiawind/peers.py
@@ -26,7 +26,7 @@
     json: JsonClient
 
     def report(self, address: str) -> Deferred[Result[DaemonReport, Failure]]:
-        """Ask a daemon for its report."""
+        """Request the report of a daemon."""
         url = f"http://{address}/peer/report"
         return Deferred.fromCoroutine(self.json.call("GET", url, DaemonReport))
 
--- a/sequoiawind/record_follower.py
+++ b/sequoiawind/record_follower.py
@@ -30,7 +30,7 @@
 # that the processes do not all retry at the same time.
 RETRY_PAUSE_S: Final = 0.25
 RETRY_JITTER: Final = 0.4
-# Time allowed for a response, in seconds, beyond the wait asked for.
+# Time allowed for a response, in seconds, in addition to the wait.
 RESPONSE_MARGIN_S: Final = 0.8
 
 
@@ -38,23 +38,23 @@
     """Receives the records of a topic."""
 
     def replaced(self, records: Sequence[KeyedRecord]) -> None:
-        """Receive the newest record of each key; other keys are dropped."""
+        """Called with the newest record of each key; drop other keys."""
 
     def changed(self, record: KeyedRecord) -> None:
-        """Receive a newly written record."""
+        """Called with a newly written record."""
 
     def confirmed(self, asked_s: float) -> None:
-        """Learn that all records written up to a time have been received.
+        """Called when all records written up to a time have been received.
 
         Args:
           asked_s: The time, in seconds of `RecordFollower.age_clock`.
         """
 
     def store_lost(self, detail: str) -> None:
-        """Learn that the store does not answer."""
+        """Called when the store stops answering."""
 
     def store_back(self) -> None:
-        """Learn that the store answers again."""
+        """Called when the store answers again."""
 
 
 @attrs.define(kw_only=True)
--- a/tests/session.py
+++ b/tests/session.py
@@ -283,7 +283,7 @@
     def ask(
         self, address: str
     ) -> Deferred[Result[reports.DaemonReport, Failure]]:
-        """Ask a daemon for its report."""
+        """Request the report of a daemon."""
         done: Deferred[Result[reports.DaemonReport, Failure]] = Deferred()
         down = not_run(Reason.CONNECT_FAILED, "down")
         for other in self.rig.routers:
