--- a/sequoiawind/command_line.py
+++ b/sequoiawind/command_line.py
@@ -1,4 +1,4 @@
-"""What the console programs' command lines have in common."""
+"""Command-line handling shared by the console programs."""
 
 import argparse
 import os
@@ -15,47 +15,47 @@
 
 # Environment variable that names the settings file.
 SETTINGS_VARIABLE: Final = "SEQUOIAWIND_CONFIG"
-# Exit status for a wrong command line or wrong settings.
+# Exit status for an invalid command line or invalid settings.
 EXIT_USAGE: Final = 2
 
 
 def parser(name: str, purpose: str) -> argparse.ArgumentParser:
     """Return a parser with the options that every program has."""
-    made = argparse.ArgumentParser(prog=name, description=purpose)
-    made.add_argument(
+    result = argparse.ArgumentParser(prog=name, description=purpose)
+    result.add_argument(
         "--version", action="version", version=f"{name} {VERSION}"
     )
-    return made
+    return result
 
 
 def daemon_parser(name: str, purpose: str) -> argparse.ArgumentParser:
     """Return the parser of a program that reads a settings file."""
-    made = parser(name, purpose)
+    result = parser(name, purpose)
     default = os.environ.get(SETTINGS_VARIABLE)
-    made.add_argument(
+    result.add_argument(
         "settings",
         nargs="?" if default else None,
         default=default,
         help=f"the settings file, in TOML; default: ${SETTINGS_VARIABLE}",
     )
-    made.add_argument(
+    result.add_argument(
         "--check-settings",
         action="store_true",
         help="check the settings file and exit",
     )
-    return made
+    return result
 
 
 def run_daemon(
     name: str, purpose: str, kind: type[T], run: Callable[[T, str], None]
 ) -> None:
-    """Read a program's command line and settings, and run it.
+    """Read a program's command line and settings file, and run it.
 
     Args:
       name: The program's name.
       purpose: What it does, for its help text.
       kind: The class of its settings.
-      run: Runs it with its settings, which were read from the file named.
+      run: Runs it; called with its settings and the path of their file.
     """
     args = daemon_parser(name, purpose).parse_args()
     options = settings_or_exit(settings.load(args.settings, kind))
@@ -64,7 +64,7 @@
 
 
 def settings_or_exit(loaded: Result[T, list[Fault]]) -> T:
-    """Return checked settings, or name their faults and exit."""
+    """Return loaded settings, or print their faults and exit."""
     if loaded.is_ok():
         return loaded.ok
     for fault in loaded.error:
@@ -73,6 +73,6 @@
 
 
 def fail(text: str) -> NoReturn:
-    """Print an error and exit."""
+    """Print an error and exit with status 1."""
     print(text, file=sys.stderr)
     sys.exit(1)
--- a/sequoiawind/ctl_main.py
+++ b/sequoiawind/ctl_main.py
@@ -23,7 +23,7 @@
 )
 from sequoiawind.query import Answer
 
-PURPOSE: Final = "Ask about the system and command it."
+PURPOSE: Final = "Query the system and send commands to it."
 TIMEOUT_S: Final = 10.0
 WAIT_PAUSE_S: Final = 0.2
 
@@ -49,7 +49,7 @@
         "--router",
         action="append",
         required=True,
-        help="a router's host:port; repeat it to name others to fall back on",
+        help="a router's host:port; repeat it to name fallback routers",
     )
     run.add_argument("--json", action="store_true", help="answer in JSON")
     run.add_argument(
@@ -60,7 +60,7 @@
         help="wait until a command is in force on all daemons",
     )
     publish_parser = actions.add_parser(
-        "publish", help="append the commands of a file to the log"
+        "publish", help="append the commands in a file to the log"
     )
     publish_parser.add_argument("file")
     publish_parser.add_argument("--log", required=True, help="host:port")
@@ -79,8 +79,8 @@
     def run(self, text: str) -> tuple[int, Any]:
         """Run a statement.
 
-        Only a router that cannot be reached is passed over: a command that
-        may have been taken is not given again.
+        Only a router that refuses the connection is skipped: a command that
+        may have been accepted is not sent again.
 
         Returns:
           The HTTP status and the decoded answer.
@@ -99,7 +99,7 @@
 
 
 def call(url: str, body: object, token: str = "") -> tuple[int, Any]:
-    """Call a server with JSON."""
+    """Send a request in JSON; return its status and decoded answer."""
     request = urllib.request.Request(
         url,
         data=json.dumps(body).encode(),
@@ -133,8 +133,8 @@
 
 
 def wait_in_force(client: RouterClient, revision: int, limit_s: float) -> None:
-    """Wait until all daemons have a revision; name those behind."""
-    until_s = time.monotonic() + limit_s
+    """Wait until all daemons have a revision; else print those behind."""
+    deadline_s = time.monotonic() + limit_s
     while True:
         _, body = client.run("show daemons")
         answer = wire.from_builtins(body, Answer)
@@ -142,8 +142,8 @@
         if not behind:
             print(f"in force on {answer.answered} daemons")
             return
-        if time.monotonic() > until_s:
-            command_line.fail(f"behind: {', '.join(behind)}")
+        if time.monotonic() > deadline_s:
+            command_line.fail(f"not yet in force on: {', '.join(behind)}")
         time.sleep(WAIT_PAUSE_S)
 
 
@@ -158,7 +158,7 @@
 
 
 def publish(args: argparse.Namespace) -> None:
-    """Append the commands of a file to the log, one statement a line."""
+    """Append the commands in a file to the log, one statement a line."""
     text = Path(args.file).read_text(encoding="utf-8")
     parsed = language.parse_changes(text)
     if parsed.is_error():
@@ -174,8 +174,8 @@
     ]
     url = f"http://{args.log}/streams/{defaults.CONFIG_STREAM}/records"
     for start in range(0, len(records), defaults.MAX_RECORDS_PER_APPEND):
-        part = records[start : start + defaults.MAX_RECORDS_PER_APPEND]
-        status, body = call(url, {"records": part})
+        batch = records[start : start + defaults.MAX_RECORDS_PER_APPEND]
+        status, body = call(url, {"records": batch})
         if status != 200:
-            command_line.fail(f"the log refused: {body}")
+            command_line.fail(f"the log refused the commands: {body}")
     print(f"published {len(records)} commands")
--- a/sequoiawind/daemon.py
+++ b/sequoiawind/daemon.py
@@ -1,4 +1,4 @@
-"""Running a daemon: ready, serving, leaving on SIGTERM, stopped when idle."""
+"""Running a daemon: readiness, signals, and shutdown once it is idle."""
 
 import signal
 from collections.abc import Callable
@@ -15,14 +15,14 @@
 
 @attrs.define(kw_only=True)
 class Daemon:
-    """The life of one process; a context manager around its reactor."""
+    """Runs a daemon's reactor; a context manager for its signal handlers."""
 
     phase: Phase
-    # Whether nothing is in flight.
+    # Whether no work is in flight.
     is_idle: Callable[[], bool]
-    # Called on SIGTERM and SIGINT, before the balancer has noticed.
+    # Called on SIGTERM and SIGINT, while the balancer may still send requests.
     on_leaving: Callable[[], None] = attrs.field(default=lambda: None)
-    # Called when the daemon takes no more work.
+    # Called when the daemon stops accepting work.
     on_draining: Callable[[], None] = attrs.field(default=lambda: None)
     # Called on SIGHUP: the settings file may have changed.
     on_reload: Callable[[], None] = attrs.field(default=lambda: None)
@@ -30,11 +30,11 @@
     lifecycle: Any = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Make the state machine."""
+        """Create the state machine of the life cycle."""
         self.lifecycle = make_lifecycle(self.phase)
 
     def __enter__(self) -> "Daemon":
-        """Take over the signals."""
+        """Install the signal handlers."""
         reactor = event_loop.reactor
         self.phase.on_stopped = reactor.stop
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -49,7 +49,7 @@
         return self
 
     def __exit__(self, *exc_info: object) -> None:
-        """Give the signals back."""
+        """Restore the default signal handlers."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, signal.SIG_DFL)
 
@@ -58,11 +58,11 @@
         event_loop.reactor.run(installSignalHandlers=False)
 
     def ready(self) -> None:
-        """Note that the daemon can serve."""
+        """Enter the serving phase."""
         self.lifecycle.ready()
 
     def leave(self) -> None:
-        """Begin to leave: not ready, then no more work, then stop."""
+        """Start the shutdown: report not ready, later drain and stop."""
         if self.phase.name in ("leaving", "draining", "stopped"):
             return
         self.lifecycle.shut_down()
@@ -70,15 +70,15 @@
         event_loop.reactor.callLater(self.balancer_wait_s, self.drain)
 
     def drain(self) -> None:
-        """Take no more work and stop when idle."""
+        """Stop accepting work, and stop the daemon when it is idle."""
         self.lifecycle.balancer_noticed()
         self.on_draining()
         self.stop_when_idle()
 
     def stop_when_idle(self) -> None:
-        """Stop as soon as nothing is in flight."""
+        """Stop the daemon as soon as no work is in flight."""
         if self.is_idle():
-            # The last answers still have to leave the sockets.
+            # The last answers must still be written to their sockets.
             stop = partial(self.lifecycle.idle)
             event_loop.reactor.callLater(IDLE_CHECK_S, stop)
             return
--- a/sequoiawind/defaults.py
+++ b/sequoiawind/defaults.py
@@ -48,14 +48,15 @@
 SPLIT_HYSTERESIS: Final = 0.6
 SHARING_PRIOR: Final = 20.0
 MAX_HOLDERS: Final = 4
-# Targets, in rendezvous order, that are asked before a request is placed.
+# Targets, in rendezvous order, that are probed before a request is placed.
 PROBES: Final = 4
 PROBE_TIMEOUT_S: Final = 0.05
-# Prompt tokens that a home may lack without others being asked.
+# Prompt tokens that a home (the first target in rendezvous order) may have to
+# compute without other targets being probed.
 FAIR_MISSING_TOKENS: Final = 512
-# Cost beyond the expected one at which a home refuses.
+# Excess over the expected cost above which a home refuses a request.
 COST_SLACK_S: Final = 0.1
-# Costs that differ by less count as equal.
+# Costs are compared in steps of this width; within a step they are equal.
 COST_STEP_S: Final = 0.02
 
 # Agent.
@@ -66,7 +67,8 @@
 PATIENCE: Final = 4.0
 EVENTS_POLL_S: Final = 0.1
 MAX_COARSE_BLOCKS: Final = 20_000
-# How long to count on blocks of a prompt that has been sent to the engine.
+# How long after its expected wait a prompt's blocks are still expected in the
+# engine's cache.
 EXPECTED_BLOCK_S: Final = 3.0
 RESUME_GRACE_S: Final = 2.0
 RESUME_KEEP_S: Final = 10.0
@@ -86,9 +88,10 @@
 LOG_TIMEOUT_S: Final = 1.0
 LOG_RETENTION_S: Final = 86_400.0
 SNAPSHOT_SHARE_OF_RETENTION: Final = 0.4
-# Share of polls in which a daemon makes a snapshot that is due.
+# Probability, at each poll, that a daemon writes a snapshot that is due.
 SNAPSHOT_CHANCE: Final = 0.1
-# An offset that no stream reaches; a read from it tells first and end.
+# An offset that no stream reaches; a read from it returns no records, only the
+# stream's first and end offsets.
 BEYOND_END: Final = 2**62
 MAX_RECORDS_PER_APPEND: Final = 500
 RECORD_VERSION: Final = 1
@@ -96,8 +99,8 @@
 # Idempotency keys.
 KEY_MAX_AGE_S: Final = 3_600.0
 KEY_MAX_SKEW_S: Final = 60.0
-# Their sum is below 1, so that the log still has a key's first claim when
-# its last is made.
+# The sum of both shares is below 1, so that the log still holds the first claim
+# of a key when the last one is made.
 KEY_AGE_SHARE_OF_RETENTION: Final = 0.5
 KEY_SKEW_SHARE_OF_RETENTION: Final = 0.25
 CLAIM_SEND_WINDOW_S: Final = 30.0
@@ -114,7 +117,8 @@
 LIMIT_SHARE_PERIOD_S: Final = 1.0
 TOLD_DEMAND_SHARE: Final = 0.1
 MAX_TOLD_ACCOUNTS: Final = 20
-# Size of a message with its HTTP heads both ways, and what a router may send.
+# Size of a demand message with the HTTP heads of request and answer, and the
+# rate at which a router may send such messages.
 DEMAND_MESSAGE_B: Final = 730
 DEMAND_BUDGET_B_PER_S: Final = 400.0
 
--- a/sequoiawind/forward_agent_main.py
+++ b/sequoiawind/forward_agent_main.py
@@ -9,7 +9,7 @@
 from sequoiawind.forward_agent_program import ForwardAgentProgram
 from sequoiawind.options import ForwardAgentSettings
 
-PURPOSE: Final = "Watch one target and order its weights."
+PURPOSE: Final = "Watch one target and order it to load weights."
 
 
 def main() -> None:
--- a/sequoiawind/log_pipe.py
+++ b/sequoiawind/log_pipe.py
@@ -1,8 +1,8 @@
-"""Log lines that never hold up the process that writes them.
+"""Log output that is limited in rate and never blocks the process.
 
-A reader that stops reading, or a storm of lines, costs lines and not requests:
-what does not fit is left out and counted.  Lines about requests that went well
-go first, warnings and errors last.
+If the reader of the log stops reading, or if lines are logged too fast, lines
+are left out and counted instead of delaying requests.  Debug and info lines are
+left out first, warnings and errors last.
 """
 
 import os
@@ -13,19 +13,19 @@
 import attrs
 import structlog
 
-# Lines a second that are written as a rule, and at once after a quiet time.
-# At about 400 bytes a line this is 80 KB/s at most.
+# Sustained rate of lines, and the largest burst after a quiet time.  At about
+# 400 bytes a line the sustained rate is 80 KB/s at most.
 LINES_PER_S: Final = 200.0
 BURST_LINES: Final = 400.0
-# Part of the burst that only warnings and errors may use.
+# Share of the burst that only warnings and errors may use.
 RESERVED_SHARE: Final = 0.5
-# Bytes of a line that the reader has not taken yet.
-MAX_REST_BYTES: Final = 65_536
+# Unwritten bytes above which further lines are dropped.
+MAX_UNWRITTEN_BYTES: Final = 65_536
 
 
 @attrs.define(kw_only=True)
 class LogBudget:
-    """Decides which lines are written; a processor of `structlog`."""
+    """Rate limiter of log lines (token bucket); a `structlog` processor."""
 
     now: Callable[[], float] = time.monotonic
     available: float = BURST_LINES
@@ -36,18 +36,18 @@
     def __call__(
         self, logger: object, method: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
-        """Let a line pass with the count of those left out before it.
+        """Pass a line on, with the number of lines left out before it.
 
         Raises:
-          structlog.DropEvent: The line is left out.
+          structlog.DropEvent: The line exceeds the rate and is left out.
         """
         now_s = self.now()
         gained = (now_s - self.updated_s) * LINES_PER_S
         self.available = min(BURST_LINES, self.available + gained)
         self.updated_s = now_s
         is_common = method in ("debug", "info")
-        least = BURST_LINES * RESERVED_SHARE if is_common else 1.0
-        if self.available < least:
+        required = BURST_LINES * RESERVED_SHARE if is_common else 1.0
+        if self.available < required:
             self.left_out += 1
             raise structlog.DropEvent
         self.available -= 1.0
@@ -59,40 +59,44 @@
 
 @attrs.define(kw_only=True, eq=False)
 class LogPipe:
-    """Writes lines to a descriptor without ever waiting for its reader."""
+    """Writes lines to a non-blocking file descriptor."""
 
     descriptor: int
-    rest: bytes = b""
-    # Lines that did not fit.
+    unwritten: bytes = b""
+    # Number of lines dropped.
     lost: int = 0
 
     def write(self, text: str) -> int:
-        """Write a line, or as much of it as the reader has room for."""
-        if len(self.rest) > MAX_REST_BYTES:
+        """Write a line, and keep the part that the pipe has no room for.
+
+        Returns:
+          The number of characters taken; 0 if the line was dropped.
+        """
+        if len(self.unwritten) > MAX_UNWRITTEN_BYTES:
             self.flush()
-        if len(self.rest) > MAX_REST_BYTES:
+        if len(self.unwritten) > MAX_UNWRITTEN_BYTES:
             self.lost += 1
             return 0
-        self.rest += text.encode()
+        self.unwritten += text.encode()
         self.flush()
         return len(text)
 
     def flush(self) -> None:
-        """Write what is left over."""
+        """Write the unwritten bytes, as far as the pipe has room."""
         try:
-            while self.rest:
-                written = os.write(self.descriptor, self.rest)
-                self.rest = self.rest[written:]
+            while self.unwritten:
+                written = os.write(self.descriptor, self.unwritten)
+                self.unwritten = self.unwritten[written:]
         except BlockingIOError:
-            # The reader is behind; the rest goes out with a later line.
+            # The pipe is full; the rest is written with a later line.
             return
         except OSError:
-            # The reader has gone for good, and nobody is left to tell.
+            # The pipe is closed; there is no other place to report the error.
             self.lost += 1
-            self.rest = b""
+            self.unwritten = b""
 
 
 def standard_output() -> LogPipe:
-    """Return a pipe to the process's standard output."""
+    """Make standard output non-blocking and return a pipe to it."""
     os.set_blocking(1, False)
     return LogPipe(descriptor=1)
--- a/sequoiawind/logs.py
+++ b/sequoiawind/logs.py
@@ -11,9 +11,9 @@
 
 
 def configure(options: LogsOptions) -> None:
-    """Set up structlog for this process; lines go to standard output."""
+    """Configure structlog to write this process's lines to standard output."""
     level = logging.getLevelNamesMapping()[options.level.upper()]
-    # Typed as a file, of which `structlog` uses `write` and `flush` only.
+    # `structlog` expects a text file, but only uses `write` and `flush`.
     pipe: Any = log_pipe.standard_output()
     renderer: structlog.typing.Processor
     if options.format == "json":
@@ -37,7 +37,7 @@
 
 
 def log_failure(event: dict[str, Any]) -> None:
-    """Log an error that nothing handled, with its traceback."""
+    """Log an unhandled error that Twisted reports, with its traceback."""
     failure = event.get("log_failure")
     if failure is not None:
         structlog.get_logger().error(
@@ -46,7 +46,7 @@
 
 
 def get(daemon: str) -> structlog.typing.FilteringBoundLogger:
-    """Return the logger of a daemon."""
+    """Return a logger whose lines carry the daemon's name."""
     logger: structlog.typing.FilteringBoundLogger = structlog.get_logger(
         daemon=daemon
     )
--- a/sequoiawind/options.py
+++ b/sequoiawind/options.py
@@ -1,7 +1,7 @@
-"""The options of each daemon: made in one place, then passed down.
+"""The options of each daemon.
 
-Each class is one TOML file.  ``settings`` reads and checks the files; nothing
-else reads settings or the command line.
+Each ``...Settings`` class is a TOML file, each ``...Options`` class a table in
+one.  ``settings`` reads and checks the files; no other module reads them.
 """
 
 import attrs
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class LogsOptions:
-    """What the daemon logs."""
+    """Format and level of the daemon's log lines."""
 
     # "json" or "console".
     format: str = "json"
@@ -33,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformOptions:
-    """Where the platform's services are."""
+    """Addresses of the platform's services, and the log's retention time."""
 
     log: Address
     # How long the log keeps records, in seconds.
@@ -44,19 +44,19 @@
 
 @attrs.frozen(kw_only=True)
 class PeerOptions:
-    """The other processes of the system, and the secret they share."""
+    """Addresses of the system's other processes, and their shared secret."""
 
     secret: str
     # Other routers, as host:port.
     routers: tuple[Address, ...] = ()
-    # Some agents, to start from while all routers restart and the log is
-    # down.
+    # Some agents, from which the configuration is read if all routers restart
+    # while the log is down.
     agents: tuple[Address, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
 class RouterOptions:
-    """The router itself."""
+    """Name, address and shutdown of the router."""
 
     name: str
     listen: Address
@@ -67,7 +67,7 @@
 
 @attrs.frozen(kw_only=True)
 class AgentOptions:
-    """The agent itself and its target."""
+    """The agent's name, address and limits, and its target."""
 
     name: str
     listen: Address
@@ -85,22 +85,22 @@
 
 @attrs.frozen(kw_only=True)
 class BoundsOptions:
-    """What the platform holds the system to."""
+    """Limits on times and repeats that the platform imposes on the system."""
 
-    # Time after which a key that was taken away must not work.
+    # Time after which a revoked key must no longer be accepted.
     revoke_ms: float = 5_000.0
-    # Time within which a configuration must be in force.
+    # Time within which a new configuration must be in force.
     in_force_ms: float = 2_000.0
-    # Time within which a leaving target must get no new work.
+    # Time after which a leaving target must get no new work.
     drain_ms: float = 2_000.0
     # Time between SIGTERM and SIGKILL.
     grace_s: float = 8.0
-    # Time within which all targets must have newly named weights.
+    # Time within which all targets must have loaded newly named weights.
     weights_ms: float = 8_000.0
-    # Time for which a process that has started, or has found the store again,
-    # is not held to these bounds.
+    # Time after a start, or after the store can be reached again, in which a
+    # process need not meet these bounds.
     settle_ms: float = 3_000.0
-    # Repeats allowed for each request, and besides, in a window.
+    # Repeats allowed in a window: this many per request, plus the allowance.
     repeat_ratio: float = 0.2
     repeat_allowance: float = 20.0
     repeat_window_s: float = 10.0
@@ -108,7 +108,7 @@
 
 @attrs.frozen(kw_only=True)
 class NodeOptions:
-    """One process on its VM."""
+    """Name, address and ports of one process."""
 
     name: str
     ip: str
@@ -120,7 +120,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntryOptions:
-    """Where a router serves callers, and tells whether it is ready."""
+    """Addresses where a router serves callers and readiness checks."""
 
     callers: Address
     ready: Address
@@ -143,7 +143,7 @@
 
     node: NodeOptions
     store: Address
-    # Address of the target beside which the agent runs.
+    # Address of the agent's target.
     target: Address
     bounds: BoundsOptions = attrs.field(factory=BoundsOptions)
     logs: LogsOptions = attrs.field(factory=LogsOptions)
--- a/sequoiawind/settings.py
+++ b/sequoiawind/settings.py
@@ -1,7 +1,7 @@
 """Reading and checking settings files.
 
-A file is checked as a whole before anything listens; each fault names the
-file, the key path and what was expected there.
+A file is checked as a whole before the daemon opens a port; each fault names
+the file, the key path and what was expected there.
 """
 
 import tomllib
@@ -64,7 +64,7 @@
     except tomllib.TOMLDecodeError as error:
         return Error([Fault(file=file, path=".", expected=f"TOML: {error}")])
     checker = Checker(file=file)
-    settings = checker.table(values, kind, "")
+    settings = checker.check_table(values, kind, "")
     if checker.faults:
         return Error(checker.faults)
     return Ok(settings)
@@ -72,80 +72,84 @@
 
 @attrs.define(kw_only=True)
 class Checker:
-    """Turns tables into options and collects the faults."""
+    """Converts TOML tables to options classes and collects the faults."""
 
     file: str
     faults: list[Fault] = attrs.field(factory=list)
 
-    def fault(self, path: str, expected: str) -> None:
-        """Note a fault."""
+    def add_fault(self, path: str, expected: str) -> None:
+        """Record a fault."""
         self.faults.append(Fault(file=self.file, path=path, expected=expected))
 
-    def table(self, values: object, kind: type[Any], path: str) -> Any:
-        """Check a table against an options class."""
+    def check_table(self, values: object, kind: type[Any], path: str) -> Any:
+        """Convert a table to an options class; None after any fault."""
         if not isinstance(values, dict):
-            self.fault(path, "a table")
+            self.add_fault(path, "a table")
             return None
         hints = typing.get_type_hints(kind)
         fields = {field.name: field for field in attrs.fields(kind)}
         for name in sorted(set(values) - set(fields)):
-            self.fault(join(path, name), f"one of {', '.join(fields)}")
-        made: dict[str, Any] = {}
+            self.add_fault(join_path(path, name), f"one of {', '.join(fields)}")
+        converted: dict[str, Any] = {}
         for name, field in fields.items():
-            where = join(path, name)
+            where = join_path(path, name)
             if name in values:
-                made[name] = self.value(values[name], hints[name], where)
+                converted[name] = self.check_value(
+                    values[name], hints[name], where
+                )
             elif field.default is attrs.NOTHING:
-                self.fault(where, f"{describe(hints[name])}, but it is missing")
+                self.add_fault(
+                    where, f"{describe(hints[name])}, but it is missing"
+                )
         if self.faults:
             return None
-        return kind(**made)
+        return kind(**converted)
 
-    def value(self, value: object, hint: Any, path: str) -> Any:
-        """Check one value against its type."""
+    def check_value(self, value: object, hint: Any, path: str) -> Any:
+        """Convert one value to its declared type; None if it does not fit."""
         if attrs.has(hint) and hint is not Address:
-            return self.table(value, hint, path)
+            return self.check_table(value, hint, path)
         if typing.get_origin(hint) is types.UnionType:
             hint = typing.get_args(hint)[0]
         if typing.get_origin(hint) is tuple:
-            return self.items(value, typing.get_args(hint)[0], path)
-        made = convert(value, hint)
-        if made is None:
-            self.fault(path, describe(hint))
+            return self.check_list(value, typing.get_args(hint)[0], path)
+        converted = convert_scalar(value, hint)
+        if converted is None:
+            self.add_fault(path, describe(hint))
             return None
-        return self.in_range(made, path)
+        return self.check_limits(converted, path)
 
-    def items(self, value: object, hint: Any, path: str) -> Any:
-        """Check a list."""
+    def check_list(self, value: object, hint: Any, path: str) -> Any:
+        """Convert each item of a list; an empty tuple if it is no list."""
         if not isinstance(value, list):
-            self.fault(path, f"a list of {describe(hint)}")
+            self.add_fault(path, f"a list of {describe(hint)}")
             return ()
         return tuple(
-            self.value(item, hint, f"{path}[{number}]")
+            self.check_value(item, hint, f"{path}[{number}]")
             for number, item in enumerate(value)
         )
 
-    def in_range(self, value: Any, path: str) -> Any:
-        """Check a value of the right type further."""
+    def check_limits(self, value: Any, path: str) -> Any:
+        """Check a value of the right type for its choices and limits."""
         choices = CHOICES.get(path)
         if choices is not None and value not in choices:
-            self.fault(path, f"one of {', '.join(choices)}")
+            self.add_fault(path, f"one of {', '.join(choices)}")
         if path == "peers.secret" and len(value) < MIN_SECRET_CHARS:
-            self.fault(path, f"at least {MIN_SECRET_CHARS} characters")
+            self.add_fault(path, f"at least {MIN_SECRET_CHARS} characters")
         if isinstance(value, int | float) and value < 0:
-            self.fault(path, "a number of at least 0")
+            self.add_fault(path, "a number of at least 0")
         if path.endswith("name") and not value:
-            self.fault(path, "a name")
+            self.add_fault(path, "a name")
         return value
 
 
-def join(path: str, name: str) -> str:
-    """Return the path of a key in a table."""
+def join_path(path: str, name: str) -> str:
+    """Return the key path of a name in a table."""
     return f"{path}.{name}" if path else name
 
 
-def convert(value: object, hint: Any) -> Any:
-    """Return a scalar as its type; None if it does not fit."""
+def convert_scalar(value: object, hint: Any) -> Any:
+    """Return a scalar converted to a type; None if it does not fit."""
     if hint is Address:
         return parse_address(value)
     if hint is float and type(value) in (int, float):
@@ -164,7 +168,7 @@
 
 
 def describe(hint: Any) -> str:
-    """Return what a type expects, for people."""
+    """Return the description of a type for a fault's text."""
     names: dict[Any, str] = {
         str: "a string",
         int: "a whole number",
--- a/tests/test_log_pipe.py
+++ b/tests/test_log_pipe.py
@@ -1,4 +1,4 @@
-"""Log lines under a storm and with a reader that stops."""
+"""Log output at a high rate of lines, and with a reader that stops."""
 
 import os
 
@@ -9,9 +9,9 @@
 
 
 class BudgetTest(TestCase):
-    """Lines are left out in order of their worth, and counted."""
+    """Lines over the rate are left out, common ones first, and counted."""
 
-    def passed(self, budget: LogBudget, method: str, lines: int) -> int:
+    def count_passed(self, budget: LogBudget, method: str, lines: int) -> int:
         count = 0
         for _ in range(lines):
             try:
@@ -21,28 +21,28 @@
             count += 1
         return count
 
-    def test_common_lines_go_first(self) -> None:
+    def test_common_lines_are_left_out_first(self) -> None:
         budget = LogBudget(now=lambda: 0.0)
         lines = int(BURST_LINES)
-        common = self.passed(budget, "info", lines)
-        urgent = self.passed(budget, "warning", lines)
+        common = self.count_passed(budget, "info", lines)
+        urgent = self.count_passed(budget, "warning", lines)
         self.assertTrue(0 < common < lines, common)
         self.assertTrue(0 < urgent < lines, urgent)
 
     def test_rate_and_count(self) -> None:
         now = [0.0]
         budget = LogBudget(now=lambda: now[0])
-        self.passed(budget, "info", 10_000)
+        self.count_passed(budget, "info", 10_000)
         left_out = budget.left_out
         now[0] = 1.0
         event = budget(None, "info", {})
         self.assertEqual(left_out, event["lines_left_out"])
-        more = self.passed(budget, "info", 10_000)
+        more = self.count_passed(budget, "info", 10_000)
         self.assertTrue(more <= LINES_PER_S, more)
 
 
 class PipeTest(TestCase):
-    """A reader that stops costs lines and not time."""
+    """Lines are dropped if the reader stops; the writer is not blocked."""
 
     def test_reader_stops(self) -> None:
         reader, writer = os.pipe()
@@ -56,11 +56,11 @@
         kept = os.read(reader, 1 << 20)
         pipe.write("last\n")
         kept += os.read(reader, 1 << 20)
-        # What is written are whole lines, in order.
+        # Only whole lines are written, in order.
         lines = kept.split(b"\n")
         self.assertEqual({b"x" * 99}, set(lines[:-2]))
 
-    def test_reader_gone(self) -> None:
+    def test_closed_reader(self) -> None:
         reader, writer = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, writer)
