--- a/sequoiawind/agent_program.py
+++ b/sequoiawind/agent_program.py
@@ -1,6 +1,6 @@
-"""An agent put together: decisions, transports and controllers.
+"""The components of an agent, and how they are connected.
 
-``agent_main`` runs it as a process; tests run it beside others in one.
+``agent_main`` runs it as a process; tests run several in one process.
 """
 
 import random
@@ -43,7 +43,7 @@
 
 @attrs.define(kw_only=True)
 class AgentProgram:
-    """All parts of one agent."""
+    """The components of one agent."""
 
     options: AgentSettings
     log: Logger = attrs.field(init=False)
@@ -57,7 +57,7 @@
     port: Any = None
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Create the components."""
         self.log = logs.get(self.options.agent.name)
         self.json = JsonClient(
             client=self.client, secret=self.options.peers.secret
@@ -65,7 +65,7 @@
         self.agent = self.make_agent()
 
     def make_agent(self) -> Agent:
-        """Return the decisions about attempts."""
+        """Return the component that decides about attempts."""
         options = self.options.agent
         port: EngineHttpPort | PlainHttpPort
         if options.service == "engine":
@@ -125,7 +125,7 @@
             Deferred.fromCoroutine(controller)
 
     def make_watcher(self) -> EngineWatcher:
-        """Return the controller that follows the engine."""
+        """Return the controller that follows the engine's state."""
         return EngineWatcher(
             agent=self.agent,
             port=EngineControlPort(
@@ -141,5 +141,5 @@
         )
 
     def follow_config(self) -> None:
-        """Let the agent do as the configuration says."""
+        """Apply the current configuration to the agent."""
         self.agent.follow_config(self.board.state)
--- a/sequoiawind/forward_agent_program.py
+++ b/sequoiawind/forward_agent_program.py
@@ -1,4 +1,4 @@
-"""A forwarding agent put together: decisions, transports, controllers."""
+"""The components of a forwarding agent, and how they are connected."""
 
 from typing import Final
 from urllib.parse import parse_qsl
@@ -23,27 +23,28 @@
 from sequoiawind.platform.targets import decode_target
 from sequoiawind.status_watcher import STATUS_PATH, STATUS_WAIT_S, AgentClient
 
-# For how long the store waits for a change before it answers, in seconds, and
+# How long the store may wait for a change before it answers, in seconds, and
 # the pause after a change, so that one answer carries several.  An agent checks
-# no keys; it has to hear of weights soon, even if a connection falls silent.
+# no keys, but must learn of new weights soon, even if a connection stalls.
 OPERATOR_WAIT_S: Final = 3.0
 OPERATOR_PACE_S: Final = 0.4
-# The same of the targets: an agent needs them for its turn only.
+# The same for the targets, which an agent only needs to know its turn to order
+# weights.
 TARGETS_WAIT_S: Final = 8.0
 TARGETS_PACE_S: Final = 1.0
-# Time for another agent's answer, in seconds.
+# Time allowed for another agent's answer, in seconds.
 PEER_ANSWER_S: Final = 0.3
 
 
 @attrs.define(kw_only=True)
 class ForwardAgentProgram(ForwardProgram[ForwardAgentSettings]):
-    """All parts of one agent."""
+    """The components of one agent."""
 
     metrics: ForwardAgentMetrics = attrs.field(factory=ForwardAgentMetrics)
     agent: ForwardAgent = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Create the components."""
         super().__attrs_post_init__()
         options = self.options
         self.agent = ForwardAgent(
@@ -77,7 +78,7 @@
         self.log.info("listening", port=node.agent_port)
 
     async def status_body(self, request: HttpRequest) -> bytes:
-        """Return the target's status, for a router once there is news."""
+        """Return the target's status, after a wait for one that is newer."""
         query = request.target.partition(b"?")[2].decode("latin-1")
         arguments = dict(parse_qsl(query))
         after = arguments.get("after", "-1")
@@ -86,8 +87,8 @@
             self.agent.heard_from(arguments["router"])
         return wire.encode(await self.agent.newer(number, STATUS_WAIT_S))
 
-    def take_bounds(self, bounds: BoundsOptions) -> None:
-        """Put new bounds in force."""
+    def apply_bounds(self, bounds: BoundsOptions) -> None:
+        """Apply changed bounds to the agent."""
         self.agent.weights_s = bounds.weights_ms / 1000
 
     def start(self) -> None:
--- a/sequoiawind/forward_program.py
+++ b/sequoiawind/forward_program.py
@@ -1,7 +1,7 @@
-"""What the forwarding router and its agent have in common as programs.
+"""Base class of the forwarding router and agent programs.
 
-Both follow the store's records and their own settings file; what they do with
-them differs.
+Both follow the store's records and their own settings file; the subclasses
+define what is done with them.
 """
 
 import random
@@ -32,7 +32,7 @@
 
 @attrs.define(kw_only=True)
 class ForwardProgram(Generic[S]):
-    """The parts that both programs have."""
+    """The components that both programs have."""
 
     options: S
     log: Logger = attrs.field(init=False)
@@ -43,13 +43,13 @@
     store: StoreClient = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Create the components."""
         self.log = logs.get(self.options.node.name)
         self.client = self.make_client()
         self.store = StoreClient(client=self.client, address=self.options.store)
 
     def make_client(self) -> Http1Client:
-        """Return the client of targets and store."""
+        """Return the HTTP client for targets and the store."""
         return Http1Client(reactor=event_loop.reactor)
 
     def follow_records(
@@ -64,10 +64,10 @@
 
         Args:
           topic: The topic.
-          reader: Takes in its records.
-          wait_s: For how long the store is asked to wait for a change.
+          reader: Processes its records.
+          wait_s: How long the store may wait for a change before it answers.
           pace_s: Pause after a change, so that one answer carries several.
-          age_clock: The clock by which the reader knows its records' age.
+          age_clock: Returns the time by which the records' age is measured.
         """
         follower = RecordFollower(
             topic=topic,
@@ -89,11 +89,11 @@
             kind=type(self.options),
             clock=event_loop.reactor,
             log=self.log,
-            on_change=self.follow_settings,
+            on_change=self.apply_settings,
         )
 
-    def follow_settings(self, options: S) -> None:
-        """Take over new bounds; addresses need a restart."""
+    def apply_settings(self, options: S) -> None:
+        """Apply changed bounds; other changes need a restart."""
         changed = attrs.evolve(self.options, bounds=options.bounds)
         self.log.info(
             "settings read again",
@@ -101,8 +101,8 @@
             restart_needed=options != changed,
         )
         self.options = changed
-        self.take_bounds(options.bounds)
+        self.apply_bounds(options.bounds)
 
-    def take_bounds(self, bounds: BoundsOptions) -> None:
-        """Put new bounds in force."""
+    def apply_bounds(self, bounds: BoundsOptions) -> None:
+        """Apply changed bounds to the components."""
         raise NotImplementedError
--- a/sequoiawind/forward_router_program.py
+++ b/sequoiawind/forward_router_program.py
@@ -1,4 +1,4 @@
-"""A forwarding router put together: decisions, transports, controllers."""
+"""The components of a forwarding router, and how they are connected."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -37,27 +37,29 @@
 from sequoiawind.stream_move import StreamMove
 from sequoiawind.verdict import Failure, Reason
 
-# Part of the revocation bound for which the store is asked to wait for a
-# change: two waits in a row must end well within the bound.
+# Share of the revocation bound for which the store may wait for a change before
+# it answers: two waits in a row must end well within the bound.
 CONFIG_WAIT_SHARE: Final = 0.22
-# The same of the bound on leaving targets.
+# The same share of the bound on leaving targets.
 TARGETS_WAIT_SHARE: Final = 0.7
-# Pause after targets have changed, in seconds, so that one question brings
-# several changes; a small part of the bound on leaving targets.
+# Pause after targets have changed, in seconds, so that one read returns several
+# changes; a small part of the bound on leaving targets.
 TARGETS_PACE_S: Final = 0.15
-# Time for an agent's answer beyond the time that it is asked to wait.
+# Time allowed for an agent's answer, in seconds, beyond the time for which the
+# agent may wait for a change.
 STATUS_ANSWER_S: Final = 0.5
-# Time after SIGTERM in which callers may still begin new requests on their
-# connections; the balancer turns away within two of its questions.
+# Time after SIGTERM, in seconds, in which callers may still begin requests on
+# their connections; the balancer stops using the router within two of its
+# readiness checks.
 LEAVE_S: Final = 3.0
-# The same as a part of the time until the process is killed, where that is
-# short; the rest is for answers under way.
+# The same as a share of the time between SIGTERM and SIGKILL, where that is
+# short; the rest is left for answers in progress.
 LEAVE_SHARE: Final = 0.4
 
 
 @attrs.define(kw_only=True)
 class ForwardRouterProgram(ForwardProgram[ForwardRouterSettings]):
-    """All parts of one router."""
+    """The components of one router."""
 
     metrics: ForwardMetrics = attrs.field(factory=ForwardMetrics)
     freshness: Freshness = attrs.field(init=False)
@@ -70,7 +72,7 @@
     on_prepared: Callable[[], None] | None = None
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Create the components."""
         super().__attrs_post_init__()
         bounds = self.options.bounds
         self.freshness = Freshness(
@@ -85,14 +87,14 @@
             limits=self.limits,
             on_refusal=self.count_refusal,
         )
-        self.metrics.watch(
+        self.metrics.set_gauge_functions(
             age_s=lambda: self.freshness.age_s,
             revision=lambda: self.board.state.revision,
             open_requests=lambda: self.forwarder.open_requests,
         )
 
     def make_client(self) -> Http1Client:
-        """Return the client of targets and store."""
+        """Return the HTTP client for targets and the store."""
         return Http1Client(
             reactor=event_loop.reactor,
             on_foreign=self.metrics.foreign_answers.inc,
@@ -100,7 +102,7 @@
         )
 
     def make_forwarder(self) -> Forwarder:
-        """Return the decisions about requests."""
+        """Return the component that decides about requests."""
         bounds = self.options.bounds
         engines = EngineClient(client=self.client)
         return Forwarder(
@@ -136,7 +138,7 @@
         )
 
     def make_watcher(self) -> StatusWatcher:
-        """Return the controller that asks the agents."""
+        """Return the controller that polls the agents for their status."""
         agents = AgentClient(
             router=self.options.node.name,
             client=self.client,
@@ -154,7 +156,7 @@
         )
 
     def limits(self) -> CallerLimits:
-        """Return the bounds on what callers may send."""
+        """Return the limits on callers' requests."""
         state = self.board.state
         if isinstance(state, ForwardState):
             return state.limits
@@ -175,18 +177,18 @@
     def answer_ready(
         self, request: HttpRequest, connection: CallerConnection
     ) -> None:
-        """Tell the balancer whether new connections are welcome."""
-        is_asked = request.target == names.READY_TARGET
-        status = 200 if is_asked and self.is_ready else 503
+        """Answer a readiness check of the balancer: status 200 or 503."""
+        is_readiness_check = request.target == names.READY_TARGET
+        status = 200 if is_readiness_check and self.is_ready else 503
         connection.reply(status, [], b"")
 
     @property
     def is_ready(self) -> bool:
-        """Whether a request can be served here."""
+        """Whether this router can serve requests."""
         return self.board.phase.is_ready
 
     def check_prepared(self) -> None:
-        """Become ready once there are a configuration and a target."""
+        """Become ready once a configuration and a target are known."""
         has_config = isinstance(self.board.state, ForwardState)
         if has_config and self.fleet.views and self.on_prepared is not None:
             self.on_prepared()
@@ -260,13 +262,13 @@
             )
 
     def targets_changed(self) -> None:
-        """Follow the agents of new targets, and serve who waits."""
+        """Follow the agents of new targets, and serve waiting requests."""
         self.check_prepared()
         self.watcher.follow()
         self.forwarder.serve_waiting()
 
-    def take_bounds(self, bounds: BoundsOptions) -> None:
-        """Put new bounds in force."""
+    def apply_bounds(self, bounds: BoundsOptions) -> None:
+        """Apply changed bounds to the components."""
         self.freshness.revoke_s = bounds.revoke_ms / 1000
         self.freshness.in_force_s = bounds.in_force_ms / 1000
         self.forwarder.weights_s = bounds.weights_ms / 1000
@@ -276,15 +278,15 @@
         window.allowance = bounds.repeat_allowance
         window.window_s = bounds.repeat_window_s
 
-    # Leaving.
+    # Shutdown.
 
     @property
     def leave_s(self) -> float:
-        """For how long requests are taken after SIGTERM, in seconds."""
+        """For how long requests are accepted after SIGTERM, in seconds."""
         return min(LEAVE_S, LEAVE_SHARE * self.options.bounds.grace_s)
 
     def leave(self) -> None:
-        """Close callers' connections after their answers."""
+        """Close each caller's connection after its next answer."""
         self.site.is_closing = True
 
     def drain(self) -> None:
@@ -294,12 +296,12 @@
         self.site.close_idle()
 
     def is_idle(self) -> bool:
-        """Whether no request is under way."""
+        """Whether no request is in progress."""
         return self.forwarder.open_requests == 0 and all(
             connection.is_idle for connection in self.site.connections
         )
 
-    # Accounts.
+    # Metrics and log lines.
 
     def count_retry(self, reason: Reason) -> None:
         """Count a retry by its reason."""
@@ -325,7 +327,7 @@
     def note_attempt_failed(
         self, forwarding: Forwarding, view: TargetView, failure: Failure
     ) -> None:
-        """Log an attempt without an answer, and what its target was like."""
+        """Log a failed attempt with the last known status of its target."""
         now_s = event_loop.reactor.seconds()
         status = view.status
         self.log.warning(
--- a/sequoiawind/metrics.py
+++ b/sequoiawind/metrics.py
@@ -1,4 +1,4 @@
-"""The daemons' metrics, for Prometheus."""
+"""Prometheus metrics of the daemons."""
 
 from collections.abc import Callable
 
@@ -223,14 +223,14 @@
             registry=registry,
         )
 
-    def watch(
+    def set_gauge_functions(
         self,
         *,
         age_s: Callable[[], float],
         revision: Callable[[], float],
         open_requests: Callable[[], float],
     ) -> None:
-        """Read the gauges when they are asked for."""
+        """Set the functions that are called for the gauges at each scrape."""
         self.config_age.set_function(age_s)
         self.revision.set_function(revision)
         self.open_requests.set_function(open_requests)
@@ -238,7 +238,7 @@
 
 @attrs.define(kw_only=True)
 class ForwardAgentMetrics:
-    """Metrics of an agent beside a forwarded target."""
+    """Metrics of a forwarded target's agent."""
 
     registry: CollectorRegistry = attrs.field(factory=CollectorRegistry)
     orders: Counter = attrs.field(init=False)
@@ -257,7 +257,7 @@
 def reason_counter(
     name: str, text: str, registry: CollectorRegistry
 ) -> Counter:
-    """Return a counter by reason, each reason at zero."""
+    """Return a counter labelled by reason, with each reason at zero."""
     counter = Counter(name, text, ["reason"], registry=registry)
     for reason in Reason:
         counter.labels(reason.value)
--- a/sequoiawind/pages.py
+++ b/sequoiawind/pages.py
@@ -1,7 +1,7 @@
 """Pages that a forwarding daemon serves to other processes: status, metrics.
 
-They go through the server that takes callers' requests, so that a daemon loads
-and starts no second one.
+They are served by the same HTTP server classes as callers' requests, so that a
+daemon does not load a second HTTP implementation.
 """
 
 import traceback
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Page:
-    """What is served at a path."""
+    """The content type of a page, and the function that returns its body."""
 
     content_type: str
     body: Callable[[HttpRequest], Awaitable[bytes]]
@@ -43,30 +43,32 @@
         """Serve the pages at an address."""
         site = CallerSite(
             clock=event_loop.reactor,
-            on_request=self.take,
+            on_request=self.handle_request,
             limits=CallerLimits,
-            on_refusal=self.refused,
+            on_refusal=self.log_refusal,
         )
         event_loop.reactor.listenTCP(
             address.port, site, event_loop.LISTEN_BACKLOG, address.host
         )
 
-    def take(self, request: HttpRequest, connection: CallerConnection) -> None:
-        """Answer a request."""
+    def handle_request(
+        self, request: HttpRequest, connection: CallerConnection
+    ) -> None:
+        """Answer a request with its page, or with status 404."""
         page = self.pages.get(request.target.partition(b"?")[0])
         if page is None or request.method != b"GET":
             connection.reply(404, [], b"")
             return
-        Deferred.fromCoroutine(self.answer(page, request, connection))
+        Deferred.fromCoroutine(self.send_page(page, request, connection))
 
-    async def answer(
+    async def send_page(
         self, page: Page, request: HttpRequest, connection: CallerConnection
     ) -> None:
-        """Answer with a page once its body is there."""
+        """Send a page once its body is available; status 500 if it fails."""
         try:
             body = await page.body(request)
         except Exception:
-            # The process serves on; whoever asked hears of the fault.
+            # A failing page does not stop the daemon; the client gets a 500.
             self.log.error(
                 "page failed",
                 page=request.target[:80].decode("latin-1"),
@@ -77,13 +79,13 @@
         content_type = page.content_type.encode()
         connection.reply(200, [(b"content-type", content_type)], body)
 
-    def refused(self, reason: Reason) -> None:
-        """Log a request that was refused before it had been read."""
+    def log_refusal(self, reason: Reason) -> None:
+        """Log a request that was refused before it was read completely."""
         self.log.info("page request refused", reason=reason.value)
 
 
 def metrics_page(registry: CollectorRegistry) -> Page:
-    """Return the page of a daemon's metrics."""
+    """Return a page that renders a registry's metrics."""
 
     async def body(request: HttpRequest) -> bytes:
         return metrics.render(registry)
--- a/sequoiawind/router_program.py
+++ b/sequoiawind/router_program.py
@@ -1,6 +1,6 @@
-"""A router put together: decisions, transports and controllers.
+"""The components of a router, and how they are connected.
 
-``router_main`` runs it as a process; tests run it beside others in one.
+``router_main`` runs it as a process; tests run several in one process.
 """
 
 import random
@@ -47,7 +47,7 @@
 
 @attrs.define(kw_only=True)
 class RouterProgram:
-    """All parts of one router."""
+    """The components of one router."""
 
     options: RouterSettings
     log: Logger = attrs.field(init=False)
@@ -64,7 +64,7 @@
     port: Any = None
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Create the components."""
         self.log = logs.get(self.options.router.name)
         self.board.limits = AccountLimits(
             routers=1 + len(self.options.peers.routers)
@@ -82,7 +82,7 @@
         self.follower = self.make_follower()
 
     def make_claimant(self) -> Claimant:
-        """Return the controller of at-most-once actions."""
+        """Return the controller that claims idempotency keys."""
         incarnation = f"{self.random.getrandbits(32):08x}"
         return Claimant(
             log=self.log_port,
@@ -93,7 +93,7 @@
         )
 
     def make_router(self) -> Router:
-        """Return the decisions about requests."""
+        """Return the component that decides about requests."""
         port = AgentPort(client=self.client, secret=self.options.peers.secret)
         around = Surroundings(
             clock=event_loop.reactor,
@@ -118,7 +118,7 @@
         )
 
     def make_follower(self) -> ConfigFollower:
-        """Return the controller of the configuration."""
+        """Return the controller that follows the configuration."""
         return ConfigFollower(
             board=self.board,
             log=self.log_port,
@@ -128,7 +128,7 @@
             retention_s=self.options.platform.log_retention_s,
         )
 
-    def make_web(self) -> RouterHttp:
+    def make_http(self) -> RouterHttp:
         """Return the HTTP interface."""
         admin = Admin(
             name=self.options.router.name,
@@ -153,7 +153,7 @@
     def listen(self) -> None:
         """Open the listening port."""
         self.port = http_server.listen(
-            self.make_web().app(),
+            self.make_http().app(),
             self.options.router.listen,
             on_refusal=self.count_refused_body,
         )
@@ -175,14 +175,14 @@
             ],
             on_found=on_ready,
         )
-        teller = DemandTeller(
+        publisher = DemandTeller(
             name=self.options.router.name,
             peers=self.peers,
             board=self.board,
             clock=event_loop.reactor,
             addresses=self.options.peers.routers,
         )
-        controllers = [self.follower.run(), seeker.run(), teller.run()]
+        controllers = [self.follower.run(), seeker.run(), publisher.run()]
         watcher = self.make_watcher()
         if watcher is not None:
             controllers.append(watcher.run())
@@ -190,7 +190,7 @@
             Deferred.fromCoroutine(controller)
 
     def make_watcher(self) -> VmListWatcher | None:
-        """Return the controller of the VM list, if there is a list."""
+        """Return the controller that polls the VM list, if there is one."""
         if self.options.platform.vm_list is None:
             return None
         return VmListWatcher(
@@ -202,7 +202,7 @@
         )
 
     def is_idle(self) -> bool:
-        """Whether no request and no claim record is under way."""
+        """Whether no request and no claim record is in progress."""
         return self.router.open_requests == 0 and self.claimant.pending == 0
 
     def stop_listening(self) -> None:
@@ -222,7 +222,7 @@
         self.metrics.refusals.labels(failure.reason.value).inc()
 
     def count_refused_body(self, reason: Reason) -> None:
-        """Count a request refused before its body was whole."""
+        """Count a request refused before its body was complete."""
         self.metrics.refusals.labels(reason.value).inc()
 
     def note_end(self, note: RequestNote, ended: Ended) -> None:
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -42,7 +42,7 @@
         self.refused: list[Reason] = []
         site = CallerSite(
             clock=Clock(),
-            on_request=self.pages.take,
+            on_request=self.pages.handle_request,
             limits=CallerLimits,
             on_refusal=self.refused.append,
         )
@@ -52,8 +52,8 @@
         self.protocol = protocol
         return transport, site
 
-    def ask(self, line: bytes) -> bytes:
-        """Return the beginning of the answer to a request."""
+    def request_page(self, line: bytes) -> bytes:
+        """Return the answer to a request, as far as it has been sent."""
         transport, _ = self.connect()
         self.protocol.dataReceived(line + b" HTTP/1.1\r\nHost: h\r\n\r\n")
         answer: bytes = transport.value()
@@ -67,9 +67,9 @@
             (b"POST /metrics", b"HTTP/1.1 404"),
             (b"GET /broken", b"HTTP/1.1 500"),
         ):
-            answer = self.ask(line)
+            answer = self.request_page(line)
             self.assertTrue(answer.startswith(status), (line, answer))
-        self.assertIn(b"things_total 1.0", self.ask(b"GET /metrics"))
+        self.assertIn(b"things_total 1.0", self.request_page(b"GET /metrics"))
 
     def test_waits_for_the_body(self) -> None:
         transport, _ = self.connect()
@@ -79,7 +79,7 @@
         self.waiting.callback(b"now")
         self.assertTrue(transport.value().endswith(b"now"))
 
-    def test_body_for_who_has_gone(self) -> None:
+    def test_client_disconnects_before_the_body(self) -> None:
         transport, site = self.connect()
         request = b"GET /slow HTTP/1.1\r\nHost: h\r\n\r\n"
         self.protocol.dataReceived(request)
