--- a/sequoiawind/platform/__init__.py
+++ b/sequoiawind/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What speaks the users' platform: names, formats and calls; no decision."""
+"""Adapter to the users' platform: names, formats and calls; no decisions."""
--- a/sequoiawind/platform/callers.py
+++ b/sequoiawind/platform/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests and the answers to them, on the wire."""
+"""Decoding of callers' requests, and sending of the answers."""
 
 from typing import Final
 
@@ -11,11 +11,11 @@
 from sequoiawind.prompt_cache import Prompt, PromptPart
 from sequoiawind.verdict import Failure, Verdict, forwarded_status
 
-DROPPED: Final = names.HOP_BY_HOP | names.OWN_HEADERS
+DROPPED_HEADERS: Final = names.HOP_BY_HOP | names.OWN_HEADERS
 
 
 def decode_request(request: HttpRequest) -> ForwardRequest:
-    """Return a request in the product's terms."""
+    """Convert a caller's HTTP request to the product's type."""
     path = request.target.split(b"?", 1)[0].decode("latin-1")
     host = request.header(b"host").decode("latin-1").lower()
     return ForwardRequest(
@@ -24,11 +24,11 @@
         path=path,
         method=request.method,
         target=request.target,
-        headers=passed_headers(request.headers, DROPPED),
+        headers=passed_headers(request.headers, DROPPED_HEADERS),
         body=request.body,
         key=key(request.header(names.AUTHORIZATION)),
         arrived_s=request.arrived_s,
-        deadline_s=milliseconds(request.header(names.DEADLINE_MS)),
+        deadline_s=parse_milliseconds(request.header(names.DEADLINE_MS)),
         prompt=decode_prompt(request),
     )
 
@@ -41,30 +41,32 @@
     return value.strip().decode("latin-1")
 
 
-def milliseconds(value: bytes) -> float | None:
-    """Return a header of milliseconds in seconds; None if it has none."""
+def parse_milliseconds(value: bytes) -> float | None:
+    """Return a header's milliseconds as seconds; None if not a number."""
     text = value.strip()
     return int(text) / 1000 if text.isdigit() else None
 
 
 def decode_prompt(request: HttpRequest) -> Prompt | None:
-    """Return what a request says of its prompt; None if it has none."""
+    """Return the prompt that headers describe; None without a model."""
     model = request.header(names.MODEL)
     if not model:
         return None
     counts = request.header(names.TOKEN_COUNT).split(b",")
-    tokens, made = (number(item) for item in (*counts, b"", b"")[:2])
+    tokens, max_output = (
+        parse_number(item) for item in (*counts, b"", b"")[:2]
+    )
     return Prompt(
         model=model.decode("latin-1"),
         tokens=tokens,
-        max_tokens=made,
-        expected_tokens=number(request.header(names.LENGTH_HINT)),
+        max_tokens=max_output,
+        expected_tokens=parse_number(request.header(names.LENGTH_HINT)),
         parts=decode_parts(request.header(names.PROMPT_PREFIX)),
     )
 
 
 def decode_parts(value: bytes) -> tuple[PromptPart, ...]:
-    """Return the parts of a prompt, in its order."""
+    """Return the parts of a prompt in order; malformed ones are left out."""
     parts = []
     for item in value.decode("latin-1").split(","):
         name, _, tokens = item.strip().partition(":")
@@ -73,8 +75,8 @@
     return tuple(parts)
 
 
-def number(value: bytes) -> int:
-    """Return a whole number; 0 if it is none."""
+def parse_number(value: bytes) -> int:
+    """Return a header's whole number; 0 if it is not a number."""
     text = value.strip()
     return int(text) if text.isdigit() else 0
 
@@ -90,7 +92,7 @@
         self.connection.send_head(status, headers)
 
     def send_data(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a part of the answer's body."""
         self.connection.send_data(data)
 
     def send_end(self) -> None:
@@ -102,11 +104,11 @@
         self.connection.reply(status, headers, body)
 
     def break_off(self) -> None:
-        """End an answer so that it does not look complete."""
+        """Abort an answer, so that it does not look complete."""
         self.connection.break_off()
 
     def refuse(self, failure: Failure) -> None:
-        """Send the status of a failure, and when to come back."""
+        """Send a failure's status, and when to retry if it has not run."""
         headers: Headers = []
         if failure.verdict is Verdict.NOT_RUN and failure.retry_after_s:
             text = f"{failure.retry_after_s:.3f}".encode()
--- a/sequoiawind/platform/codec.py
+++ b/sequoiawind/platform/codec.py
@@ -1,4 +1,4 @@
-"""The decoders that the product's readers are given."""
+"""The platform's decoders, for the product's record readers."""
 
 from typing import Final
 
--- a/sequoiawind/platform/configuration.py
+++ b/sequoiawind/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's records, decoded into the product's configuration."""
+"""Decoding of the operator's records to the product's configuration."""
 
 from typing import Final
 
@@ -17,11 +17,11 @@
 from sequoiawind.headers import CallerLimits
 from sequoiawind.platform import names
 
-MS: Final = 0.001
+S_PER_MS: Final = 0.001
 
 
 class Split(msgspec.Struct):
-    """A service's part of a route."""
+    """A service's share of a route's traffic."""
 
     service: str
     weight: float
@@ -40,7 +40,7 @@
     service: str = ""
     traffic_split: list[Split] = []
     max_attempts: int = 1
-    # Needs no key.
+    # Requests need no API key.
     public: bool = False
     resumable: bool = False
     gap_aim_ms: float = 0.0
@@ -53,7 +53,7 @@
 
 
 class EngineRecord(msgspec.Struct):
-    """What the operator says of a service's engines."""
+    """Properties of a service's engines."""
 
     kv_capacity_tokens: int = 0
     # Whether the memory of a run can be copied to another engine.
@@ -68,17 +68,17 @@
     engine: EngineRecord | None = None
     # Set for a store of cached prompts, which is no target.
     kv_store_addr: str = ""
-    # Room of such a store.
+    # Capacity of such a store.
     kv_capacity_tokens: int = 0
 
 
 class LimitsRecord(msgspec.Struct):
-    """Bounds on what callers send."""
+    """Limits on callers' requests and connections."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
     header_timeout_ms: float = 3_000
-    # Time for which a caller's connection may stay without a request.
+    # Time for which a caller's connection may stay idle.
     idle_timeout_ms: float = 15_000
 
 
@@ -102,7 +102,7 @@
 
 
 class WeightsRecord(msgspec.Struct):
-    """Newer weights of a model."""
+    """A newer weights version of a model."""
 
     model: str
     version: int
@@ -128,8 +128,8 @@
         limits=CallerLimits(
             header_bytes=record.limits.max_header_bytes,
             body_bytes=record.limits.max_body_bytes,
-            header_timeout_s=record.limits.header_timeout_ms * MS,
-            idle_timeout_s=record.limits.idle_timeout_ms * MS,
+            header_timeout_s=record.limits.header_timeout_ms * S_PER_MS,
+            idle_timeout_s=record.limits.idle_timeout_ms * S_PER_MS,
         ),
         accounts=accounts(record.tenants),
         kinds={item.name: kind(item) for item in record.routes},
@@ -149,7 +149,7 @@
 
 
 def accounts(tenants: list[TenantRecord]) -> dict[str, ForwardAccount]:
-    """Return an account for each key, under names that differ."""
+    """Return an account for each API key, under a unique name."""
     return {
         f"{tenant.name}/{number}": ForwardAccount(
             name=tenant.name,
@@ -163,7 +163,7 @@
 
 
 def kind(record: RouteRecord) -> ForwardKind:
-    """Return how a route's requests may be repeated and timed."""
+    """Return the rules for a route's requests: priority, repeats, times."""
     may_repeat = record.kind == names.IDEMPOTENT
     return ForwardKind(
         name=record.name,
@@ -172,14 +172,14 @@
         is_stream=record.kind == names.STREAMING,
         is_resumable=record.kind == names.STREAMING and record.resumable,
         max_targets=record.max_attempts,
-        timeout_s=record.timeout_ms * MS,
-        aim_s=record.target_latency_ms * MS,
-        pause_s=record.gap_aim_ms * MS,
+        timeout_s=record.timeout_ms * S_PER_MS,
+        aim_s=record.target_latency_ms * S_PER_MS,
+        pause_s=record.gap_aim_ms * S_PER_MS,
     )
 
 
 def route(record: RouteRecord) -> ForwardRoute:
-    """Return a route."""
+    """Return a route of the product's configuration."""
     shares = tuple(
         PoolShare(pool=item.service, weight=item.weight)
         for item in record.traffic_split
--- a/sequoiawind/platform/engine.py
+++ b/sequoiawind/platform/engine.py
@@ -1,4 +1,4 @@
-"""The client of the targets: requests, reports and orders on the wire."""
+"""HTTP client of the targets: requests, reports and orders."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -26,24 +26,25 @@
 from sequoiawind.rollout import LoadOrder, OrderOutcome, TargetReport
 from sequoiawind.verdict import Failure, Reason, may_have_run, not_run
 
-# Statuses by which a target refuses an order.
+# Statuses by which a target accepts an order, or already has the weights.
 ACCEPTED: Final = 202
 HOLDS_ALREADY: Final = 200
-# A cache answers this when it serves as many watchers as it may.
-TOO_MANY: Final = 429
-# Time to free the memory of a run, in seconds; a round trip and some waiting.
+# Status of a cache that already serves its maximum number of watchers.
+TOO_MANY_WATCHERS: Final = 429
+# Timeout for freeing the memory of a run, in seconds: a round trip and some
+# waiting.
 DROP_TIMEOUT_S: Final = 0.5
 
 
 @attrs.define(kw_only=True, eq=False)
 class DecodingSink:
-    """Turns an answer on the wire into the product's terms."""
+    """Decodes an answer's head and passes the answer on to a sink."""
 
     model: str
     sink: AttemptSink
 
     def head(self, status: int, headers: Headers) -> None:
-        """Decode the answer's head."""
+        """Decode the answer's head and pass it on."""
         found = dict(headers)
         self.sink.head(
             AnswerHead(
@@ -123,7 +124,7 @@
         return Ok(f"{address}/{moved.handle}")
 
     def drop_move(self, moved_from: str) -> None:
-        """Free the memory of a run that nobody goes on with."""
+        """Free the memory of a moved run that is not continued."""
         address, _, handle = moved_from.partition("/")
         request = OutgoingRequest(
             method=b"DELETE",
@@ -136,7 +137,7 @@
     async def report(
         self, address: str, timeout_s: float
     ) -> Result[TargetReport, Failure]:
-        """Return a target's report on itself."""
+        """Return a target's report of its state."""
         request = OutgoingRequest(
             method=b"GET",
             target=names.REPORT_TARGET,
@@ -169,8 +170,10 @@
         answered = await fetch(self.client, address, request, timeout_s)
         if answered.is_error():
             return Error(answered.error)
-        if answered.ok.status == TOO_MANY:
-            return Error(not_run(Reason.TARGET_BUSY, "too many watch it"))
+        if answered.ok.status == TOO_MANY_WATCHERS:
+            return Error(
+                not_run(Reason.TARGET_BUSY, "too many watchers of the cache")
+            )
         if answered.ok.status != 200:
             text = f"status {answered.ok.status}"
             return Error(not_run(Reason.TARGET_ERROR, text))
@@ -178,7 +181,7 @@
             record = wire.decode(answered.ok.body, engine_wire.EventsRecord)
         except wire.WireError as error:
             return Error(not_run(Reason.TARGET_ERROR, str(error)))
-        return Ok(engine_wire.news(record))
+        return Ok(engine_wire.cache_changes(record))
 
     async def order(
         self, address: str, target: str, order: LoadOrder, timeout_s: float
--- a/sequoiawind/platform/engine_wire.py
+++ b/sequoiawind/platform/engine_wire.py
@@ -1,4 +1,4 @@
-"""Bodies and headers of the targets' interfaces."""
+"""Bodies and headers of requests to targets and of their answers."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -13,24 +13,24 @@
 from sequoiawind.rollout import TargetReport
 from sequoiawind.verdict import Failure, Reason, not_run
 
-# Status of a target that is not the one that the request expects.
+# Status of a target that is not the instance which the request expects.
 WRONG_INSTANCE: Final = 421
 
 
 class ReportRecord(msgspec.Struct):
-    """A target's report on itself."""
+    """A target's report of its state."""
 
     models: list[ModelVersion] = []
-    # An order is being carried out.
+    # Whether an order is being carried out.
     busy: bool = False
-    # Orders accepted since the start.
+    # Number of orders accepted since the start.
     seq: int = 0
     waiting: int = 0
     running: int = 0
-    # Tokens in memory that cannot yield.
+    # Tokens in memory that cannot be evicted.
     kv_used: int = 0
-    # Id, tokens in memory, events made, priority, of each run that has made
-    # some; not all targets tell.
+    # Id, tokens in memory, events produced and priority of each run that has
+    # produced events; None if the target does not report them.
     runs: list[tuple[str, int, int, int]] | None = None
     state: str = names.READY
     born: int = 0
@@ -41,7 +41,7 @@
 
     # Changes at each start of the cache.
     boot_epoch: int
-    # The `since` of the next question.
+    # The `since` of the next request.
     next_token: int
     lost: bool = False
     # Number, + or -, salt, part, tokens held now, model.
@@ -56,10 +56,10 @@
     holder: str
     # Fencing number.
     fence: int
-    # Orders that the target must have accepted before this one.
+    # Number of orders that the target must have accepted before this one.
     precondition: int
     op: str = "version"
-    # Let runs finish first.
+    # Wait for runs to finish first.
     transfer_mode: str = "wait"
 
 
@@ -68,20 +68,20 @@
 
     # The caller's id of the attempt.
     id: str
-    # Address of the target that is to have the memory.
+    # Address of the target that receives the memory.
     to: str
-    # Stop the run first.
+    # Whether to stop the run first.
     last: bool = True
 
 
 class MovedRecord(msgspec.Struct):
-    """Where the memory of a run is."""
+    """The handle of the stored memory of a run."""
 
     handle: str | int
 
 
 def refusal(status: int, found: Mapping[bytes, bytes]) -> Failure | None:
-    """Return the target's word that it did not run a request, if it said so."""
+    """Return a failure if an answer says that the request was not run."""
     if status == WRONG_INSTANCE:
         return not_run(Reason.TARGET_REPLACED, messages.TARGET_REFUSED)
     if names.NOT_EXECUTED in found:
@@ -95,7 +95,7 @@
 
 
 def caller_headers(order: SendOrder) -> Headers:
-    """Return the caller's headers; a resumed stream has its own position."""
+    """Return the caller's headers, less its position if a stream resumes."""
     if order.after_event is None:
         return order.request.headers
     return [
@@ -129,7 +129,7 @@
 
 
 def report(record: ReportRecord) -> TargetReport:
-    """Return a target's report in the product's terms."""
+    """Convert a target's report to the product's type."""
     return TargetReport(
         versions={item.name: item.version for item in record.models},
         is_busy=record.busy,
@@ -138,15 +138,15 @@
         running=record.running,
         runs=None
         if record.runs is None
-        else tuple(made for _, _, made, _ in record.runs),
+        else tuple(events for _, _, events, _ in record.runs),
         used_tokens=record.kv_used,
         is_draining=record.state == names.DRAINING,
         born_ms=record.born,
     )
 
 
-def news(record: EventsRecord) -> CacheNews:
-    """Return the changes of a cache in the product's terms."""
+def cache_changes(record: EventsRecord) -> CacheNews:
+    """Convert the changes of a cache to the product's type."""
     return CacheNews(
         epoch=record.boot_epoch,
         next_number=record.next_token,
--- a/sequoiawind/platform/names.py
+++ b/sequoiawind/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's header names, paths and words."""
+"""Names in the platform's interfaces: headers, paths, topics and values."""
 
 from typing import Final
 
@@ -23,10 +23,10 @@
 AUTHORIZATION: Final = b"authorization"
 RETRY_AFTER: Final = b"retry-after"
 
-# Word before the key in `Authorization`.
+# Scheme of the `Authorization` header, before the key.
 KEY_SCHEME: Final = b"token"
 
-# Headers that concern one connection.
+# Headers that apply to one connection only; they are not passed on.
 HOP_BY_HOP: Final = frozenset(
     {
         b"connection",
@@ -42,7 +42,7 @@
         b"expect",
     }
 )
-# Headers that only the system may set towards a target.
+# Headers that only the system may set in requests to targets.
 OWN_HEADERS: Final = frozenset(
     {
         DEADLINE_MS,
--- a/sequoiawind/platform/store.py
+++ b/sequoiawind/platform/store.py
@@ -30,7 +30,7 @@
 READ: Final = "/api/log-read"
 # The keyed topics have one partition.
 PARTITION: Final = "0"
-# The store answers this when the records asked for have been deleted.
+# Status of the store if the requested records have been deleted.
 GONE: Final = 410
 LENGTH: Final = struct.Struct(">I")
 END_AND_FIRST: Final = struct.Struct(">QQ")
@@ -64,7 +64,7 @@
     async def newest(
         self, topic: str, after: str, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        """Return the newest record of each key behind a key."""
+        """Return a page of the newest record of each key after a given key."""
         query = {"topic": topic, "part": PARTITION}
         if after:
             query["after"] = after
@@ -107,7 +107,7 @@
     async def get(
         self, path: str, query: dict[str, str], timeout_s: float
     ) -> Result[HttpReply, ReadFailure]:
-        """Call the store."""
+        """Send a request to the store and check the answer's status."""
         request = OutgoingRequest(
             method=b"GET",
             target=f"{path}?{urlencode(query)}".encode(),
@@ -132,16 +132,16 @@
       UnicodeDecodeError: A key is not text.
     """
     end, _ = END_AND_FIRST.unpack_from(body)
-    place, records = END_AND_FIRST.size, []
-    while place < len(body):
-        (length,) = LENGTH.unpack_from(body, place)
-        place += LENGTH.size
-        content = body[place : place + length]
+    position, records = END_AND_FIRST.size, []
+    while position < len(body):
+        (length,) = LENGTH.unpack_from(body, position)
+        position += LENGTH.size
+        content = body[position : position + length]
         if len(content) < length:
             raise IndexError("a record is cut short")
-        place += length
+        position += length
         records.append(decode_record(content))
-    # A read of the newest records may stop before the end.
+    # A read may return fewer records than there are before the end.
     return KeyedPage(
         records=records,
         end=start + len(records),
@@ -150,7 +150,7 @@
 
 
 def decode_record(content: bytes) -> KeyedRecord:
-    """Decode a record: its key's length, its key, its value."""
+    """Decode a record: the key's length in a byte, the key, the value."""
     length = content[0]
     key = content[1 : 1 + length].decode("utf-8", "replace")
     value = content[1 + length :]
--- a/sequoiawind/platform/targets.py
+++ b/sequoiawind/platform/targets.py
@@ -1,4 +1,4 @@
-"""The targets' own records, decoded; unreadable ones name no target."""
+"""Decoding of the targets' entries in the store."""
 
 import msgspec
 from expression import Error, Ok, Result
@@ -16,7 +16,7 @@
 
 
 class TargetRecord(msgspec.Struct):
-    """A target's entry as it writes it."""
+    """A target's entry as the target writes it."""
 
     service: str
     address: str
@@ -29,7 +29,7 @@
 
 
 def decode_target(name: str, value: bytes) -> Result[ForwardTarget, str]:
-    """Return the target that an entry names, or why it names none."""
+    """Return the target that an entry describes, or why it is invalid."""
     try:
         record = wire.decode(value, TargetRecord)
     except wire.WireError as error:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: what is on the wire, decoded once, and back."""
+"""Decoding and encoding in the platform's adapter."""
 
 import base64
 import json
@@ -83,7 +83,7 @@
 
 
 class ConfigurationTest(TestCase):
-    """The operator's configuration."""
+    """Decoding of the operator's configuration."""
 
     def test_decoded(self) -> None:
         state = configuration.decode_configuration(json.dumps(CONFIG).encode())
@@ -135,7 +135,7 @@
 
 
 class TargetEntryTest(TestCase):
-    """Entries of targets; other writers may have left anything."""
+    """Decoding of targets' entries, malformed ones included."""
 
     def test_decoded(self) -> None:
         decoded = decode_target("i1", json.dumps(ENTRY).encode()).ok
@@ -143,7 +143,7 @@
         self.assertEqual({"m": 3}, decoded.versions)
         self.assertFalse(decoded.is_draining)
 
-    def test_names_no_target(self) -> None:
+    def test_invalid_entries(self) -> None:
         for change in (
             {"state": "odd"},
             {"address": 5},
@@ -158,12 +158,12 @@
 
 
 def framed(*records: bytes) -> bytes:
-    """Return records as a read gives them."""
+    """Return records framed as in the body of a read."""
     return b"".join(struct.pack(">I", len(item)) + item for item in records)
 
 
 class StoreTest(TestCase):
-    """Calls to the store, and torn answers."""
+    """Calls to the store, truncated answers included."""
 
     def answer(self, call: str, reply: bytes) -> Any:
         reactor = MemoryReactorClock()
@@ -172,11 +172,11 @@
             address=Address(host="10.0.0.9", port=80),
         )
         if call == "newest":
-            asked = client.newest("keyed.op", "", 1.0)
+            pending = client.newest("keyed.op", "", 1.0)
         else:
-            asked = client.read("keyed.op", 5, 1.0, 2.0)
+            pending = client.read("keyed.op", 5, 1.0, 2.0)
         results: list[Any] = []
-        Deferred.fromCoroutine(asked).addCallback(results.append)
+        Deferred.fromCoroutine(pending).addCallback(results.append)
         peer = accept(reactor)
         self.request = peer.sent()
         peer.protocol.dataReceived(reply)
@@ -194,7 +194,7 @@
         self.assertEqual([("k", b"value"), ("k", None)], values)
         self.assertEqual((7, False), (page.end, page.has_more))
 
-    def test_torn_answers(self) -> None:
+    def test_truncated_answers(self) -> None:
         whole = struct.pack(">QQ", 7, 0) + framed(b"\x01kvalue")
         for body in (b"", whole[:12], whole[:-2], whole + b"\x00", b"{}"):
             result = self.answer("read", self.reply(body))
@@ -225,7 +225,7 @@
 
 
 class RequestTest(TestCase):
-    """Callers' requests, and what a target gets of them."""
+    """Callers' requests, and the requests that targets get for them."""
 
     def decode(self, *headers: tuple[bytes, bytes]) -> Any:
         return callers.decode_request(
@@ -260,7 +260,7 @@
         parts = [(part.id, part.tokens) for part in request.prompt.parts]
         self.assertEqual([("5c", 800), ("91", 410), ("e4", 250)], parts)
 
-    def test_odd_values(self) -> None:
+    def test_malformed_values(self) -> None:
         for headers in (
             [(b"sequoiawind-deadline-ms", b"soon")],
             [(b"authorization", b"Bearer k1")],
@@ -281,7 +281,7 @@
             urgency=2,
             **fields,
         )
-        client.send(order, Notes())
+        client.send(order, IgnoringSink())
         return accept(reactor).sent()
 
     def test_only_the_system_sets_its_headers(self) -> None:
@@ -317,7 +317,7 @@
         self.assertNotIn(b"last-event-id: 4", sent)
         self.assertNotIn(b"kv-from", sent)
 
-    def test_run_that_was_moved(self) -> None:
+    def test_source_of_a_moved_run(self) -> None:
         forged = (b"kv-from", b"forged")
         sent = self.sent(forged, after_event=9, moved_from="ip:1/h")
         self.assertIn(b"kv-from: ip:1/h\r\n", sent)
@@ -339,24 +339,24 @@
                 self.assertEqual(Verdict.NOT_RUN, refusal.verdict)
 
 
-class Notes:
-    """A sink that forgets."""
+class IgnoringSink:
+    """A sink that ignores the answer."""
 
     def head(self, head: AnswerHead) -> None:
-        """Forget the head."""
+        """Ignore the head."""
 
     def data(self, data: bytes) -> None:
-        """Forget a part."""
+        """Ignore a part."""
 
     def done(self) -> None:
-        """Forget the end."""
+        """Ignore the end."""
 
     def failed(self, failure: Failure) -> None:
-        """Forget the failure."""
+        """Ignore the failure."""
 
 
 class MoveTest(TestCase):
-    """The memory of a run on its way to another target."""
+    """Orders to move the memory of a run to another target."""
 
     def move(self, reply: bytes) -> Any:
         reactor = MemoryReactorClock()
@@ -367,8 +367,8 @@
             goal=target("e2", "llm", address="10.0.0.2:80"),
         )
         results: list[Any] = []
-        asked = client.move(order, 1.0)
-        Deferred.fromCoroutine(asked).addCallback(results.append)
+        pending = client.move(order, 1.0)
+        Deferred.fromCoroutine(pending).addCallback(results.append)
         peer = accept(reactor)
         self.request = peer.sent()
         peer.protocol.dataReceived(reply)
@@ -397,7 +397,7 @@
             {"id": "q1", "to": "10.0.0.2:80", "last": True}, json.loads(sent)
         )
 
-    def test_dropped(self) -> None:
+    def test_drop_of_a_moved_run(self) -> None:
         reactor = MemoryReactorClock()
         engine.EngineClient(client=Http1Client(reactor=reactor)).drop_move(
             "10.0.0.1:80/h7"
@@ -407,14 +407,14 @@
 
 
 class ReportTest(TestCase):
-    """A target's report on itself, and orders to it."""
+    """Decoding of a target's report."""
 
     def call(self, reply: bytes) -> Any:
         reactor = MemoryReactorClock()
         client = engine.EngineClient(client=Http1Client(reactor=reactor))
         results: list[Any] = []
-        asked = client.report("10.0.0.1:80", 1.0)
-        Deferred.fromCoroutine(asked).addCallback(results.append)
+        pending = client.report("10.0.0.1:80", 1.0)
+        Deferred.fromCoroutine(pending).addCallback(results.append)
         accept(reactor).protocol.dataReceived(reply)
         return results[0]
 
