--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Runs the tests, passing over just the entries of KNOWN-RED.txt.
+"""Runs the tests except for those listed in KNOWN-RED.txt.
 
 An entry is a block of lines ``test:``, ``command:``, ``seed:``, ``seen:`` and
-``issue:``; the entries passed over are printed.
+``issue:``; the entries left out are printed.
 """
 
 import sys
@@ -13,7 +13,7 @@
 
 
 def entries(text: str) -> list[dict[str, str]]:
-    """Return the entries of a text."""
+    """Return the entries in the text of a KNOWN-RED.txt file."""
     found: list[dict[str, str]] = []
     for block in text.split("\n\n"):
         lines = [line for line in block.splitlines() if ": " in line]
@@ -24,7 +24,7 @@
 
 
 def main() -> int:
-    """Run pytest and print what was passed over."""
+    """Run pytest, print the entries left out and return its exit status."""
     known = entries(KNOWN_RED.read_text(encoding="utf-8"))
     args = sys.argv[1:]
     for entry in known:
--- a/tests/live.py
+++ b/tests/live.py
@@ -1,7 +1,7 @@
 """Routers, agents and stand-ins on real sockets, in one process.
 
 The reactor runs in a thread of its own, so that tests can use blocking
-clients; every port is 0.
+clients; the operating system assigns the ports.
 """
 
 import random
@@ -46,8 +46,8 @@
 READY_TRIES = 200
 
 
-def reactor_thread() -> None:
-    """Start the reactor once for all tests."""
+def start_reactor_thread() -> None:
+    """Start the reactor in a thread, if it does not run yet."""
     if not event_loop.reactor.running:
         logs.configure(LogsOptions(level="error"))
         threading.Thread(
@@ -79,8 +79,8 @@
     platform: Any = None
 
     def start(self) -> None:
-        """Start everything and wait until the routers are ready."""
-        reactor_thread()
+        """Start all parts and wait until the routers are ready."""
+        start_reactor_thread()
         in_reactor(self.start_in_reactor)
         for _ in range(READY_TRIES):
             if all(
@@ -92,7 +92,7 @@
         raise AssertionError("the routers did not become ready")
 
     def start_in_reactor(self) -> None:
-        """Start everything."""
+        """Start all parts; called in the reactor's thread."""
         reactor = event_loop.reactor
         source = random.Random(1)
         self.log = LogModel(
@@ -127,7 +127,7 @@
             self.routers.append(self.add_router(f"r{number}"))
 
     def add_agent(self, name: str, service: str, app: Any) -> Command:
-        """Start a target and its agent; return the target's command."""
+        """Start a target and its agent; return the command that creates it."""
         target_port = http_server.listen(app, ANY_PORT)
         program = AgentProgram(
             options=AgentSettings(
@@ -194,7 +194,7 @@
 
 
 def base_commands() -> list[Command]:
-    """Return the configuration without targets."""
+    """Return the commands that create the configuration, less targets."""
     return language.commands_of(CONFIGURATION)
 
 
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -1,6 +1,6 @@
 """Stand-ins of the platform's store and of its targets, over real sockets.
 
-They speak the published protocol as far as the tests need it.
+They implement the published protocol as far as the tests need it.
 """
 
 import base64
@@ -16,17 +16,17 @@
 
 MODEL = "m"
 SEAL = "Sequoiawind-Server-Seal"
-# Bound on what a read may wait, in seconds.
+# Longest wait of a read for a record, in seconds.
 MAX_WAIT_S = 30.0
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Hands calls to the stand-in that owns the server."""
+    """Passes calls to the stand-in that owns the server."""
 
     protocol_version = "HTTP/1.1"
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Stay silent."""
+        """Log nothing."""
 
     def handle_any(self) -> None:
         """Read the body and let the stand-in answer."""
@@ -55,7 +55,7 @@
     server: ThreadingHTTPServer = attrs.field(init=False)
 
     def __enter__(self) -> "StandIn":
-        """Start to serve."""
+        """Start serving."""
         self.listen(0)
         return self
 
@@ -68,7 +68,7 @@
         threading.Thread(target=self.server.serve_forever, daemon=True).start()
 
     def __exit__(self, *exc_info: object) -> None:
-        """Stop to serve."""
+        """Stop serving."""
         self.server.shutdown()
         self.server.server_close()
 
@@ -93,11 +93,11 @@
 
     topics: dict[str, list[tuple[str, bytes]]] = attrs.field(factory=dict)
     changed: threading.Condition = attrs.field(factory=threading.Condition)
-    # Refuses all calls as nothing done.
-    is_away: bool = False
+    # Whether all calls are refused with status 503.
+    is_unavailable: bool = False
 
     def put(self, topic: str, key: str, value: object) -> None:
-        """Write a record; None drops its key."""
+        """Append a record; the value None deletes its key."""
         data = b"" if value is None else json.dumps(value).encode()
         with self.changed:
             self.topics.setdefault(topic, []).append((key, data))
@@ -107,7 +107,7 @@
         """Answer a read."""
         url = urlsplit(call.path)
         query = {name: item[0] for name, item in parse_qs(url.query).items()}
-        if self.is_away:
+        if self.is_unavailable:
             call.reply(503, b"")
         elif url.path == "/api/log-newest":
             call.reply(200, self.newest(query["topic"]))
@@ -132,14 +132,14 @@
         return json.dumps(page).encode()
 
     def read(self, query: dict[str, str]) -> bytes:
-        """Return the records from an offset on, after a wait for one."""
+        """Return the records from an offset on, waiting for a first one."""
         start = int(query["from"])
         wait_s = min(MAX_WAIT_S, int(query.get("wait_ms", "0")) / 1000)
         ends_s = time.monotonic() + wait_s
         with self.changed:
             while len(self.topics.get(query["topic"], ())) <= start:
                 left_s = ends_s - time.monotonic()
-                if left_s <= 0.0 or self.is_away:
+                if left_s <= 0.0 or self.is_unavailable:
                     break
                 self.changed.wait(left_s)
             records = list(self.topics.get(query["topic"], ()))
@@ -192,7 +192,7 @@
             self.run(call, body)
 
     def report(self) -> bytes:
-        """Return the target's report on itself."""
+        """Return the report of the target's state."""
         models = [{"name": MODEL, "version": self.weights, "adapters": []}]
         return json.dumps(
             {
--- a/tests/test_forward_path.py
+++ b/tests/test_forward_path.py
@@ -1,4 +1,4 @@
-"""The whole path as processes: a router, an agent, a store, two targets."""
+"""A router and an agent as processes; stand-ins of a store and two targets."""
 
 import http.client
 import os
@@ -13,7 +13,7 @@
 from testtools import TestCase
 
 from tests.platform_standin import SEAL, Store, Target, configuration
-from tests.test_forward_processes import PATIENCE_S, free_ports
+from tests.test_forward_processes import WAIT_TIMEOUT_S, free_ports
 
 NODE = """
 store = "{store}"
@@ -43,7 +43,7 @@
 
 
 class ForwardPathTest(TestCase):
-    """What callers and targets see."""
+    """Answers that callers get, and requests that targets get."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -64,12 +64,12 @@
         self.start("agent", metrics[0], f'target = "{self.engine.address}"', "")
         entry = ENTRY.format(callers=self.callers, ready=self.ready)
         self.router = self.start("router", metrics[1], "", entry)
-        self.wait_until(lambda: self.is_ready() == 200)
+        self.wait_until(lambda: self.ready_status() == 200)
 
     def start(
         self, name: str, metrics: int, target: str, entry: str
     ) -> subprocess.Popen[bytes]:
-        """Start a program; it is ended with the test."""
+        """Start a program, which is killed at the end of the test."""
         file = self.folder / f"{name}.toml"
         node = NODE.format(
             store=self.store.address,
@@ -89,16 +89,16 @@
         self.addCleanup(process.kill)
         return process
 
-    def wait_until(self, holds: Callable[[], bool]) -> None:
-        """Wait for a condition."""
-        ends_s = time.monotonic() + PATIENCE_S
-        while not holds():
+    def wait_until(self, condition_holds: Callable[[], bool]) -> None:
+        """Wait until a condition holds."""
+        ends_s = time.monotonic() + WAIT_TIMEOUT_S
+        while not condition_holds():
             if time.monotonic() > ends_s:
-                raise AssertionError("the condition did not come to hold")
+                raise AssertionError("the condition was not met in time")
             time.sleep(0.02)
 
-    def is_ready(self) -> int:
-        """Return the status that the balancer gets; 0 for none."""
+    def ready_status(self) -> int:
+        """Return the status of a readiness check; 0 if it gets no answer."""
         try:
             return self.get(self.ready, "/api/ready", {})[0]
         except OSError:
@@ -113,7 +113,7 @@
     ) -> tuple[int, bytes, http.client.HTTPMessage]:
         """Send a request and return the whole answer."""
         connection = http.client.HTTPConnection(
-            "127.0.0.1", port, timeout=PATIENCE_S
+            "127.0.0.1", port, timeout=WAIT_TIMEOUT_S
         )
         try:
             method = "GET" if body is None else "POST"
@@ -123,7 +123,7 @@
         finally:
             connection.close()
 
-    def ask(
+    def submit(
         self,
         target: str,
         key: str = "k1",
@@ -141,7 +141,7 @@
         return self.get(self.callers, target, sent, body)
 
     def test_forwarded_unchanged(self) -> None:
-        status, body, headers = self.ask("/book/x?y=%20z")
+        status, body, headers = self.submit("/book/x?y=%20z")
         self.assertEqual((200, b"done"), (status, body))
         self.assertEqual("s1", headers[SEAL])
         ran = self.app.ran[-1]
@@ -161,12 +161,12 @@
             ("/read/x", "k2", 401),
             ("/open/x", "k2", 200),
         ):
-            status, _, _ = self.ask(target, key)
+            status, _, _ = self.submit(target, key)
             self.assertEqual(expected, status, target)
         self.assertEqual(1, len(self.app.ran))
 
     def test_stream(self) -> None:
-        status, body, headers = self.ask("/brief/x", **PROMPT)
+        status, body, headers = self.submit("/brief/x", **PROMPT)
         self.assertEqual((200, 5), (status, body.count(b"\n\n")))
         self.assertEqual("s1", headers[SEAL])
         self.assertEqual("1", self.engine.ran[-1]["sequoiawind-expect-version"])
@@ -186,39 +186,39 @@
         before = (
             self.engine.ran and self.engine.ran[-1]["sequoiawind-cache-salt"]
         )
-        self.wait_until(lambda: self.ask("/brief/x", **PROMPT)[0] == 200)
+        self.wait_until(lambda: self.submit("/brief/x", **PROMPT)[0] == 200)
         ran = self.engine.ran[-1]
         self.assertEqual("2", ran["sequoiawind-expect-version"])
         self.assertNotEqual(before, ran["sequoiawind-cache-salt"])
         self.assertEqual(1, len(self.engine.orders))
 
-    def test_key_taken_away(self) -> None:
-        self.assertEqual(200, self.ask("/read/x")[0])
+    def test_revoked_key(self) -> None:
+        self.assertEqual(200, self.submit("/read/x")[0])
         self.store.put("keyed.op", "config", configuration(9, key="k9"))
-        self.wait_until(lambda: self.ask("/read/x")[0] == 401)
-        self.assertEqual(200, self.ask("/read/x", key="k9")[0])
-        # An older version never comes back.
+        self.wait_until(lambda: self.submit("/read/x")[0] == 401)
+        self.assertEqual(200, self.submit("/read/x", key="k9")[0])
+        # An older version of the configuration does not replace a newer one.
         self.store.put("keyed.op", "config", configuration(8, key="k1"))
         self.store.put("keyed.op", "version/m", {"model": "m", "version": 2})
         self.wait_until(lambda: bool(self.engine.orders))
-        self.assertEqual(401, self.ask("/read/x")[0])
+        self.assertEqual(401, self.submit("/read/x")[0])
 
-    def test_store_away(self) -> None:
-        self.store.is_away = True
+    def test_unavailable_store(self) -> None:
+        self.store.is_unavailable = True
         with self.store.changed:
             self.store.changed.notify_all()
-        self.wait_until(lambda: self.ask("/read/x")[0] == 503)
-        status, _, headers = self.ask("/read/x")
+        self.wait_until(lambda: self.submit("/read/x")[0] == 503)
+        status, _, headers = self.submit("/read/x")
         self.assertEqual(503, status)
         self.assertTrue(float(headers["Retry-After"]) > 0.0)
-        self.assertEqual(200, self.ask("/open/x")[0])
-        self.store.is_away = False
-        self.wait_until(lambda: self.ask("/read/x")[0] == 200)
+        self.assertEqual(200, self.submit("/open/x")[0])
+        self.store.is_unavailable = False
+        self.wait_until(lambda: self.submit("/read/x")[0] == 200)
 
-    def test_sigterm_ends_no_stream(self) -> None:
+    def test_sigterm_interrupts_no_stream(self) -> None:
         self.engine.pause_s = 0.2
         connection = http.client.HTTPConnection(
-            "127.0.0.1", self.callers, timeout=PATIENCE_S
+            "127.0.0.1", self.callers, timeout=WAIT_TIMEOUT_S
         )
         self.addCleanup(connection.close)
         headers = {
@@ -230,7 +230,7 @@
         connection.request("POST", "/brief/x", "body", headers)
         response = connection.getresponse()
         self.router.send_signal(signal.SIGTERM)
-        self.wait_until(lambda: self.is_ready() != 200)
+        self.wait_until(lambda: self.ready_status() != 200)
         self.assertEqual(5, response.read().count(b"\n\n"))
         self.wait_until(lambda: self.router.poll() is not None)
         self.assertEqual(0, self.router.returncode)
--- a/tests/test_forward_processes.py
+++ b/tests/test_forward_processes.py
@@ -29,12 +29,12 @@
 [bounds]
 revoke_ms = {revoke}
 """
-# Bound on each wait, in seconds; the waits end as soon as they may.
-PATIENCE_S = 30.0
+# Timeout of each wait, in seconds; a wait ends as soon as its condition holds.
+WAIT_TIMEOUT_S = 30.0
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on."""
+    """Return ports that no process listens on."""
     sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     ports = [int(item.getsockname()[1]) for item in sockets]
     for item in sockets:
@@ -43,7 +43,7 @@
 
 
 class RouterProcessTest(TestCase):
-    """A router whose store is away."""
+    """A router whose store cannot be reached."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -73,7 +73,7 @@
         self.process.stdout.close()
 
     def wait_for(self, event: str) -> dict[str, object]:
-        """Return the next log line of an event."""
+        """Read log lines up to the next one of an event, and return it."""
         assert self.process.stdout is not None
         for line in self.process.stdout:
             found: dict[str, object] = json.loads(line)
@@ -83,7 +83,7 @@
 
     def get(self, port: str, target: str) -> http.client.HTTPResponse:
         connection = http.client.HTTPConnection(
-            "127.0.0.1", self.ports[port], timeout=PATIENCE_S
+            "127.0.0.1", self.ports[port], timeout=WAIT_TIMEOUT_S
         )
         self.addCleanup(connection.close)
         connection.request("GET", target)
@@ -120,7 +120,7 @@
     def test_leaves_on_sigterm(self) -> None:
         self.process.send_signal(signal.SIGTERM)
         self.wait_for("stopped")
-        deadline_s = time.monotonic() + PATIENCE_S
+        deadline_s = time.monotonic() + WAIT_TIMEOUT_S
         while self.process.poll() is None and time.monotonic() < deadline_s:
             time.sleep(0.01)
         self.assertEqual(0, self.process.returncode)
--- a/tests/test_live_faults.py
+++ b/tests/test_live_faults.py
@@ -21,7 +21,7 @@
 
 
 class StreamTest(TestCase):
-    """A stream goes on whole after a fault in its middle."""
+    """A stream is completed after a fault in the middle of it."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -77,7 +77,7 @@
         again = self.system.agents[1].metrics.events.labels("resumed")
         self.assertTrue(resumed._value.get() + again._value.get() >= 1)
 
-    def test_caller_gone(self) -> None:
+    def test_caller_disconnects(self) -> None:
         client = openai.OpenAI(
             base_url=f"{self.system.url()}/v1", api_key=live.TOKEN
         )
@@ -90,11 +90,11 @@
             if not any(engine.batch for engine in self.system.engines):
                 return
             time.sleep(PAUSE_S)
-        self.fail("the engine went on for a caller that had gone")
+        self.fail("the engine did not stop after the caller disconnected")
 
 
 class SlowSenderTest(TestCase):
-    """A sender that stalls is closed and disturbs nobody."""
+    """Stalled senders are disconnected; other callers are not affected."""
 
     def test_stalled_body(self) -> None:
         system = live.shared()
@@ -140,10 +140,10 @@
 
 
 class HalfOpenTest(TestCase):
-    """A connection on which nothing comes is closed."""
+    """A connection on which no data arrives is closed."""
 
     def test_silent_connection(self) -> None:
-        live.reactor_thread()
+        live.start_reactor_thread()
         with mock.patch.object(defaults, "IDLE_TIMEOUT_S", 0.3):
             port = live.in_reactor(
                 http_server.listen, klein.Klein(), live.ANY_PORT
@@ -158,7 +158,7 @@
 
 
 class RestartTest(TestCase):
-    """A router that starts while the log is down serves from a peer."""
+    """A router that starts during a log outage is configured by a peer."""
 
     def test_configuration_from_a_peer(self) -> None:
         system = live.shared()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,7 +1,7 @@
-"""Real processes: killed, stopped and told to leave, under load.
+"""Processes that are killed, suspended or terminated under load.
 
-The counts come from the plain service's stand-in.  Nothing is timed: each
-check waits for a condition, bounded in tries.
+The plain service's stand-in counts executions.  No check depends on timing:
+each waits for a condition, with a bounded number of tries.
 """
 
 import json
@@ -38,7 +38,7 @@
 def call(
     url: str, body: object = None, headers: dict[str, str] | None = None
 ) -> tuple[int, dict[str, str], bytes]:
-    """Make a call; status 0 if it could not be made or was cut."""
+    """Send a request; status 0 if the connection failed or broke."""
     data = None if body is None else json.dumps(body).encode()
     request = urllib.request.Request(url, data=data, headers=headers or {})
     try:
@@ -51,7 +51,7 @@
 
 
 class ProcessTest(TestCase):
-    """Two routers, one agent, one plain service, one engine, one log."""
+    """Two routers, two agents, one plain service, one engine, one log."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -140,7 +140,7 @@
             if condition():
                 return
             time.sleep(PAUSE_S)
-        self.fail("the condition did not come true")
+        self.fail("the condition was not met in time")
 
     def book(self, router: str, key: str) -> tuple[int, dict[str, str], bytes]:
         return call(
@@ -167,16 +167,18 @@
         return counts
 
     def test_kill_and_stop_under_load(self) -> None:
-        """Bookings stay single while a router dies and an agent stops."""
-        made = [keys.make_key(time.time(), number) for number in range(60)]
-        told: dict[str, tuple[int, str]] = {}
+        """No booking runs twice if a router is killed, an agent suspended."""
+        booking_keys = [
+            keys.make_key(time.time(), number) for number in range(60)
+        ]
+        answers: dict[str, tuple[int, str]] = {}
 
         def book_all(router: str) -> None:
-            for key in made:
+            for key in booking_keys:
                 status, headers, _ = self.book(router, key)
                 verdict = headers.get("X-Sequoiawind-Verdict", "")
                 if status:
-                    told[f"{router}/{key}"] = (status, verdict)
+                    answers[f"{router}/{key}"] = (status, verdict)
 
         threads = [
             threading.Thread(target=book_all, args=(router,))
@@ -184,7 +186,7 @@
         ]
         for thread in threads:
             thread.start()
-        self.wait(lambda: len(told) > 20)
+        self.wait(lambda: len(answers) > 20)
         self.processes["r0"].kill()
         self.processes["r0"].wait()
         self.processes["ap"].send_signal(signal.SIGSTOP)
@@ -195,14 +197,14 @@
             thread.join()
         counts = self.executions()
         self.assertEqual({1}, set(counts.values()))
-        for name, (status, verdict) in told.items():
+        for name, (status, verdict) in answers.items():
             key = f"nordlys/{name.split('/')[1]}"
             if status == 200:
                 self.assertEqual("done", verdict)
                 self.assertEqual(1, counts.get(key, 0))
 
-    def test_graceful_shutdown_cuts_nothing(self) -> None:
-        """Requests in flight at SIGTERM end whole; the process ends."""
+    def test_graceful_shutdown_completes_requests(self) -> None:
+        """Requests in flight at SIGTERM are completed; the processes exit."""
         results: list[tuple[int, bytes]] = []
         threads = [
             threading.Thread(
