--- a/sequoiawind/exchange.py
+++ b/sequoiawind/exchange.py
@@ -16,10 +16,10 @@
 
 from sequoiawind import defaults, invariants, messages, openai_format, retries
 from sequoiawind.chunk_order import ChunkOrder
-from sequoiawind.course import Course, OpenAttempt
 from sequoiawind.members import Members
 from sequoiawind.placement import Candidate, Choice
 from sequoiawind.ports import Clock, TargetPort
+from sequoiawind.request_execution import Course, OpenAttempt
 from sequoiawind.retries import RetryBudgets
 from sequoiawind.verdict import (
     Failure,
--- a/sequoiawind/forwarding.py
+++ b/sequoiawind/forwarding.py
@@ -13,7 +13,6 @@
 
 from sequoiawind import messages, retries
 from sequoiawind.blackboard import RequestNote
-from sequoiawind.course import Course, OpenAttempt
 from sequoiawind.event_stream import EventSplitter
 from sequoiawind.fleet import TargetView
 from sequoiawind.forward_plan import ForwardPlan, urgency
@@ -22,6 +21,7 @@
     ForwardCaller,
     SendOrder,
 )
+from sequoiawind.request_execution import Course, OpenAttempt
 from sequoiawind.stream_move import StreamMove
 from sequoiawind.target_choice import Chosen
 from sequoiawind.verdict import (
--- a/sequoiawind/lab/forward_mutants.py
+++ b/sequoiawind/lab/forward_mutants.py
@@ -3,11 +3,11 @@
 from typing import Any, Final
 
 from sequoiawind import prompt_cache, retries, rollout, target_choice
-from sequoiawind.course import Course
 from sequoiawind.forward_plan import Planner
 from sequoiawind.forwarding import ForwardAttempt, Forwarding
 from sequoiawind.lab import forward_soak
 from sequoiawind.lab.mutants import Mutant
+from sequoiawind.request_execution import Course
 from sequoiawind.rollout import NamedVersion
 from sequoiawind.stream_move import StreamMove
 from sequoiawind.verdict import Failure
