--- a/sequoiawind/admin.py
+++ b/sequoiawind/admin.py
@@ -238,7 +238,7 @@
         )
 
 
-def claim_row(entry: claims.Entry) -> Row:
+def claim_row(entry: claims.ClaimEntry) -> Row:
     """Return the row of a claim."""
     if entry.settled is not None:
         state = "settled"
--- a/sequoiawind/agent.py
+++ b/sequoiawind/agent.py
@@ -101,7 +101,7 @@
     # Weights version that the target was last seen to serve.
     version: str = ""
     # Why no new work is accepted; empty if it is accepted.
-    draining: str = ""
+    drain_reason: str = ""
     is_leaving: bool = False
     relays: OrderedDict[str, Relay] = attrs.field(factory=OrderedDict)
     # Maps recent placement blocks to the engine block at the end of each.
@@ -138,7 +138,7 @@
     def refusal(self, attempt: Attempt) -> Ended | None:
         """Return a refusal if an attempt cannot be queued, else None."""
         failure: Failure | None = None
-        if self.draining:
+        if self.drain_reason:
             failure = not_run(Reason.DRAINING, messages.DRAINING)
         elif attempt.target != self.target:
             failure = not_run(Reason.NO_TARGET, messages.NO_TARGET)
@@ -150,7 +150,7 @@
 
     def enqueue(self, relay: Relay) -> Ended | None:
         """Put an attempt into the queue, or return why it is refused."""
-        invariants.drained_idle(bool(self.draining), self.target)
+        invariants.drained_idle(bool(self.drain_reason), self.target)
         attempt = relay.attempt
         now_s = self.clock.seconds()
         prompt_tokens, hit_tokens = self.measure(relay, now_s)
@@ -223,7 +223,7 @@
         self.note_placement_blocks(attempt, text, relay.chain)
         hits = self.index.hit_blocks(relay.chain, now_s)
         hit_tokens = hits * self.block_bytes // defaults.BYTES_PER_TOKEN
-        return prefix.tokens(text), hit_tokens
+        return prefix.count_tokens(text), hit_tokens
 
     def note_placement_blocks(
         self, attempt: Attempt, text: bytes, chain: list[int]
@@ -350,12 +350,12 @@
         if self.is_leaving:
             return
         target = state.targets.get(self.target)
-        self.draining = target.drained if target is not None else ""
+        self.drain_reason = target.drained if target is not None else ""
 
-    def leave(self) -> None:
+    def stop_admitting(self) -> None:
         """Refuse new work permanently, because the process is shutting down."""
         self.is_leaving = True
-        self.draining = messages.SHUTTING_DOWN
+        self.drain_reason = messages.SHUTTING_DOWN
 
     def is_idle(self) -> bool:
         """Whether no attempt is queued or running."""
@@ -369,7 +369,7 @@
             wait_s=round(self.queue.wait_s(), 4),
             queued=self.queue.queued,
             running=len(self.queue.running),
-            draining=bool(self.draining),
+            draining=bool(self.drain_reason),
             version=self.version,
         )
 
--- a/sequoiawind/agent_http.py
+++ b/sequoiawind/agent_http.py
@@ -151,7 +151,7 @@
 
     def ready(self, request: server.Request) -> bytes:
         """Answer whether the agent accepts new work."""
-        if self.agent.draining or not self.board.phase.is_ready:
+        if self.agent.drain_reason or not self.board.phase.is_ready:
             request.setResponseCode(http.SERVICE_UNAVAILABLE)
             return b"not ready\n"
         return b"ready\n"
--- a/sequoiawind/agent_main.py
+++ b/sequoiawind/agent_main.py
@@ -27,7 +27,7 @@
     daemon = Daemon(
         phase=program.board.phase,
         is_idle=program.agent.is_idle,
-        on_leaving=program.agent.leave,
+        on_leaving=program.agent.stop_admitting,
     )
     with daemon:
         program.listen()
--- a/sequoiawind/cache_watcher.py
+++ b/sequoiawind/cache_watcher.py
@@ -1,9 +1,9 @@
-"""Tracks which prompt parts the caches of targets and keepers hold.
+"""Tracks which prompt parts the caches of targets and cache stores hold.
 
-A keeper is a pool's store of cached parts.  A router knows immediately what it
-has sent where; only the caches know what they have evicted and what other
-routers sent.  Changes arrive late and with gaps, so they guide placement and
-never decide whether a cached part may be used.
+A cache store holds cached parts for the targets of a pool.  A router knows
+immediately what it has sent where; only the caches know what they have evicted
+and what other routers sent.  Changes arrive late and with gaps, so they guide
+placement and never decide whether a cached part may be used.
 """
 
 import random
@@ -14,7 +14,7 @@
 from twisted.internet.defer import Deferred
 
 from sequoiawind import supervise, timing
-from sequoiawind.forward_ports import CacheNews, CachePort
+from sequoiawind.forward_ports import CacheChanges, CachePort
 from sequoiawind.ports import Clock
 from sequoiawind.prompt_cache import HeldParts
 from sequoiawind.verdict import Failure, Reason
@@ -46,7 +46,7 @@
     # Whether the last request got a response, if only that it is busy.
     is_alive: bool = False
 
-    def apply(self, update: CacheNews) -> None:
+    def apply(self, update: CacheChanges) -> None:
         """Apply changes; a restart or a gap first clears the held parts."""
         if update.epoch != self.epoch or update.has_gap:
             self.held.clear()
@@ -64,7 +64,7 @@
     clock: Clock
     random: random.Random
     log: Logger
-    # Caches by the name of their target or keeper.
+    # Caches by the name of their target or cache store.
     caches: dict[str, WatchedCache] = attrs.field(factory=dict)
 
     def watch(self, name: str, address: str, capacity_tokens: int) -> None:
@@ -92,7 +92,7 @@
 
     async def poll(self, name: str, cache: WatchedCache) -> None:
         """Poll a cache once, and pause."""
-        result = await self.port.cache_news(
+        result = await self.port.cache_changes(
             cache.address, cache.next_number, WAIT_S, WAIT_S + RESPONSE_MARGIN_S
         )
         if result.is_ok():
--- a/sequoiawind/claimant.py
+++ b/sequoiawind/claimant.py
@@ -15,7 +15,7 @@
 
 from sequoiawind import claims, defaults, invariants, messages, timing
 from sequoiawind.appender import GroupAppender, Outbox
-from sequoiawind.claims import Claim, ClaimTable, Entry, Outcome, Release
+from sequoiawind.claims import Claim, ClaimEntry, ClaimTable, Outcome, Release
 from sequoiawind.ports import Clock, LogPage, LogPort
 from sequoiawind.verdict import Failure, Reason, may_have_run, not_run
 from sequoiawind.wire import Reply
@@ -243,7 +243,9 @@
         return sum(stream.outbox.pending for stream in self.streams.values())
 
 
-def repeat_answer(entry: Entry, claim: Claim) -> Result[Reply | None, Failure]:
+def repeat_answer(
+    entry: ClaimEntry, claim: Claim
+) -> Result[Reply | None, Failure]:
     """Return the answer to a request whose key was claimed before."""
     if entry.claim.digest != claim.digest:
         return Error(not_run(Reason.KEY_REUSED, messages.KEY_REUSED))
--- a/sequoiawind/claims.py
+++ b/sequoiawind/claims.py
@@ -87,7 +87,7 @@
 
 
 @attrs.define(kw_only=True)
-class Entry:
+class ClaimEntry:
     """The state of one key in a claim stream."""
 
     claim: Claim
@@ -114,7 +114,7 @@
 
     next_offset: int = 0
     # Keys in the order in which they were claimed.
-    entries: OrderedDict[str, Entry] = attrs.field(factory=OrderedDict)
+    entries: OrderedDict[str, ClaimEntry] = attrs.field(factory=OrderedDict)
     # Claims released, or abandoned before they reached the log.
     released: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
 
@@ -171,7 +171,9 @@
         return
     if time_s > node.valid_until_s:
         return
-    table.entries[node.key] = Entry(claim=node, offset=offset, time_s=time_s)
+    table.entries[node.key] = ClaimEntry(
+        claim=node, offset=offset, time_s=time_s
+    )
 
 
 @apply.register
--- a/sequoiawind/exchange.py
+++ b/sequoiawind/exchange.py
@@ -19,7 +19,7 @@
 from sequoiawind.members import Members
 from sequoiawind.placement import Candidate, Choice
 from sequoiawind.ports import Clock, TargetPort
-from sequoiawind.request_execution import Course, OpenAttempt
+from sequoiawind.request_execution import OpenAttempt, RequestExecution
 from sequoiawind.retries import RetryBudgets
 from sequoiawind.verdict import (
     Failure,
@@ -61,7 +61,7 @@
 
 
 @attrs.define(kw_only=True)
-class Surroundings:
+class ExchangeContext:
     """The dependencies that the exchanges of one router share."""
 
     clock: Clock
@@ -91,7 +91,7 @@
         if self.is_over:
             return
         self.has_started = True
-        self.exchange.around.members.report(load, self.clock.seconds())
+        self.exchange.context.members.update_load(load, self.clock.seconds())
         self.restart_timer(self.exchange.chunk_timeout_s, Reason.CHUNK_TIMEOUT)
 
     def chunk(self, attempt_id: str, index: int, data: bytes) -> None:
@@ -109,12 +109,12 @@
             return
         if ended.load is not None:
             now_s = self.clock.seconds()
-            self.exchange.around.members.report(ended.load, now_s)
+            self.exchange.context.members.update_load(ended.load, now_s)
         self.exchange.attempt_ended(self, ended)
 
     def restart_timer(self, timeout_s: float, reason: Reason) -> None:
         """End the attempt for a reason if nothing arrives in time."""
-        self.watch(timeout_s, partial(self.timed_out, reason))
+        self.set_timeout(timeout_s, partial(self.timed_out, reason))
 
     def timed_out(self, reason: Reason) -> None:
         """End the attempt, unless a chunk has arrived since the last check."""
@@ -133,14 +133,16 @@
 
     def release(self) -> None:
         """Remove the attempt from the target's open attempts."""
-        self.exchange.around.members.of(self.candidate.name).open_attempts -= 1
+        self.exchange.context.members.health_of(
+            self.candidate.name
+        ).open_attempts -= 1
 
 
 @attrs.define(kw_only=True, eq=False)
-class Exchange(Course):
+class Exchange(RequestExecution):
     """A request in progress, with its attempts and its partial answer."""
 
-    around: Surroundings
+    context: ExchangeContext
     caller: CallerSink
     # The fields that all attempts share.
     template: Attempt
@@ -176,7 +178,7 @@
         self.deadline_at_s = self.clock.seconds() + deadline_s
         self.start_deadline(deadline_s)
         self.order.request_id = self.template.request_id
-        self.around.budgets.earn(self.template.account)
+        self.context.budgets.earn(self.template.account)
         self.next_target(None)
 
     def next_target(self, failure: Failure | None) -> None:
@@ -234,7 +236,7 @@
         """Send an attempt to a target's agent."""
         if not self.is_idempotent and not attempt.resume_of:
             invariants.not_repeated(
-                1 + int(self.is_tainted), self.template.request_id
+                1 + int(self.any_may_have_run), self.template.request_id
             )
         self.attempts += 1
         self.path.append(candidate.name)
@@ -245,13 +247,13 @@
             candidate=candidate,
         )
         self.current = sink
-        self.around.members.of(candidate.name).open_attempts += 1
+        self.context.members.health_of(candidate.name).open_attempts += 1
         sink.restart_timer(self.start_timeout_s, Reason.START_TIMEOUT)
-        sink.call = self.around.port.open(candidate.address, attempt, sink)
+        sink.call = self.context.port.open(candidate.address, attempt, sink)
 
     def new_id(self) -> str:
         """Return a new attempt id."""
-        return f"{self.around.random.getrandbits(64):016x}"
+        return f"{self.context.random.getrandbits(64):016x}"
 
     def take_chunk(self, index: int, data: bytes) -> None:
         """Pass on the chunks that are next in order."""
@@ -266,7 +268,7 @@
             return
         name = sink.candidate.name
         if ended.failure is None and self.is_answered(ended):
-            self.around.members.succeeded(name)
+            self.context.members.record_success(name)
             self.finish(ended)
             return
         failure = ended.failure or may_have_run(
@@ -274,7 +276,7 @@
         )
         self.note_failure(sink, failure, ended.load)
         if ended.probe is not None and self.replan is not None:
-            self.around.on_retry(failure.reason)
+            self.context.on_retry(failure.reason)
             replan, self.replan = self.replan, None
             planning = replan(sink.candidate, ended.probe)
             planning.addCallback(self.replanned, failure)
@@ -307,9 +309,9 @@
     ) -> None:
         """Record a failure for the verdict and for the target's health."""
         now_s = self.clock.seconds()
-        self.note_verdict(failure)
+        self.record_verdict(failure)
         if failure.reason in TARGET_FAULTS:
-            self.around.members.failed(sink.candidate.name, now_s)
+            self.context.members.record_failure(sink.candidate.name, now_s)
         if failure.reason is Reason.QUEUE_TOO_LONG:
             choice_index = self.index_of_choice(sink.candidate)
             self.refused_waits_s[choice_index] = failure.retry_after_s or 0.0
@@ -331,7 +333,7 @@
     def resume(self, sink: AttemptSink) -> None:
         """Ask the same agent for the rest of the answer."""
         self.known_at_resume = self.order.known
-        self.around.on_retry(Reason.CONNECTION_LOST)
+        self.context.on_retry(Reason.CONNECTION_LOST)
         attempt = attrs.evolve(
             sink.attempt,
             resume_of=sink.attempt.resume_of or sink.attempt.attempt_id,
@@ -342,23 +344,23 @@
 
     def retry(self, sink: AttemptSink, failure: Failure) -> None:
         """Try the next target, within the retry budget."""
-        self.around.on_retry(failure.reason)
+        self.context.on_retry(failure.reason)
         if failure.reason in retries.SPILL_REASONS:
             self.next_target(failure)
             return
-        if not self.around.budgets.spend(self.template.account):
+        if not self.context.budgets.spend(self.template.account):
             self.give_up(attrs.evolve(failure, reason=Reason.RETRY_BUDGET))
             return
         self.retried += 1
         if self.position >= len(self.choices):
             # A failure, unlike a refusal, may not happen again.
             self.position = 0
-        pause_s = retries.backoff_s(self.retried, self.around.random)
+        pause_s = retries.backoff_s(self.retried, self.context.random)
         self.clock.callLater(pause_s, partial(self.next_target, failure))
 
     def give_up(self, failure: Failure | None) -> None:
         """End with a failure whose verdict covers all attempts."""
-        last = self.covering(
+        last = self.with_overall_verdict(
             failure or not_run(Reason.NO_TARGET, messages.NO_TARGET)
         )
         waits_s = [*self.refused_waits_s.values(), last.retry_after_s or 0.0]
--- a/sequoiawind/fleet.py
+++ b/sequoiawind/fleet.py
@@ -115,7 +115,7 @@
         if name not in self.views:
             return
         self.missing.setdefault(name, now_s)
-        self.judge(now_s)
+        self.drop_missing(now_s)
 
     def store_lost(self) -> None:
         """Record that the store does not answer."""
@@ -126,9 +126,9 @@
         self.is_store_away = False
         self.store_back_s = now_s
 
-    def judge(self, now_s: float) -> None:
+    def drop_missing(self, now_s: float) -> None:
         """Drop missing entries, unless they may only have expired."""
-        if self.is_store_away or now_s < self.judged_at_s:
+        if self.is_store_away or now_s < self.missing_dropped_at_s:
             return
         for name in self.missing:
             self.views.pop(name, None)
@@ -136,7 +136,7 @@
         self.missing.clear()
 
     @property
-    def judged_at_s(self) -> float:
+    def missing_dropped_at_s(self) -> float:
         """When missing entries count as gone, in seconds of the clock."""
         return self.store_back_s + RETURN_GRACE_S
 
@@ -145,7 +145,7 @@
 
         Failing targets are left out, up to a set share of the pool.
         """
-        self.judge(now_s)
+        self.drop_missing(now_s)
         views = [
             view
             for view in newest_by_address(self.views.values(), pool)
@@ -177,7 +177,9 @@
         if view is not None:
             view.shed_until_s = now_s + SHED_PAUSE_S
 
-    def heard(self, name: str, status: TargetStatus, now_s: float) -> None:
+    def record_status(
+        self, name: str, status: TargetStatus, now_s: float
+    ) -> None:
         """Store the status that an agent reports for its target."""
         view = self.views.get(name)
         if view is None:
@@ -185,7 +187,7 @@
         view.status = status
         view.status_s = now_s
 
-    def failed(self, name: str, now_s: float, is_certain: bool) -> None:
+    def record_failure(self, name: str, now_s: float, is_certain: bool) -> None:
         """Count a failure of a target.
 
         Args:
@@ -193,11 +195,11 @@
           now_s: The time, in seconds of the clock.
           is_certain: Eject the target immediately.
         """
-        health = self.members.of(name)
+        health = self.members.health_of(name)
         if is_certain:
             least = defaults.EJECT_AFTER_FAILURES - 1
             health.failures = max(health.failures, least)
-        self.members.failed(name, now_s)
+        self.members.record_failure(name, now_s)
 
     def routers(self, now_s: float) -> int:
         """Return the number of active routers by the agents; 0 if unknown."""
--- a/sequoiawind/forward_agent.py
+++ b/sequoiawind/forward_agent.py
@@ -332,7 +332,7 @@
 
     # Routers.
 
-    def heard_from(self, router: str) -> None:
+    def record_router_poll(self, router: str) -> None:
         """Record that a router has polled this agent."""
         self.routers[router] = self.clock.seconds()
 
@@ -343,7 +343,7 @@
                 del self.routers[name]
         return len(self.routers)
 
-    async def newer(self, number: int, wait_s: float) -> TargetStatus:
+    async def wait_for_status(self, number: int, wait_s: float) -> TargetStatus:
         """Return the status, waiting for one newer than a number.
 
         Args:
--- a/sequoiawind/forward_agent_program.py
+++ b/sequoiawind/forward_agent_program.py
@@ -84,8 +84,10 @@
         after = arguments.get("after", "-1")
         number = int(after) if after.lstrip("-").isdigit() else -1
         if arguments.get("router"):
-            self.agent.heard_from(arguments["router"])
-        return wire.encode(await self.agent.newer(number, STATUS_WAIT_S))
+            self.agent.record_router_poll(arguments["router"])
+        return wire.encode(
+            await self.agent.wait_for_status(number, STATUS_WAIT_S)
+        )
 
     def apply_bounds(self, bounds: BoundsOptions) -> None:
         """Apply changed bounds to the agent."""
--- a/sequoiawind/forward_ports.py
+++ b/sequoiawind/forward_ports.py
@@ -35,7 +35,7 @@
     salt: str = ""
     # Addresses to fetch cached parts from, and to store them at; or empty.
     source: str = ""
-    keeper: str = ""
+    cache_store: str = ""
     # Id of the last event that the caller has; None to start from the first.
     after_event: int | None = None
     # Location of the memory of a moved run to continue, as returned by
@@ -49,7 +49,7 @@
 
     request_id: str
     source: ForwardTarget
-    goal: ForwardTarget
+    destination: ForwardTarget
 
 
 @attrs.frozen(kw_only=True)
@@ -97,7 +97,7 @@
           was not moved: then it continues, or its stream breaks off.
         """
 
-    def drop_move(self, moved_from: str) -> None:
+    def release_moved_run(self, moved_from: str) -> None:
         """Free the memory of a moved run that will not be continued."""
 
 
@@ -111,7 +111,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CacheNews:
+class CacheChanges:
     """The changes of a cache since a change number."""
 
     # Changes when the cache restarts, which empties it.
@@ -124,11 +124,11 @@
 
 
 class CachePort(Protocol):
-    """Queries targets and keepers for changes of their caches."""
+    """Queries targets and cache stores for changes of their caches."""
 
-    async def cache_news(
+    async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
-    ) -> Result[CacheNews, Failure]:
+    ) -> Result[CacheChanges, Failure]:
         """Return the changes since a number, waiting for a first one."""
 
 
@@ -147,7 +147,7 @@
     def reply(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a whole answer."""
 
-    def break_off(self) -> None:
+    def abort_answer(self) -> None:
         """Abort an answer so that it does not look complete."""
 
     def refuse(self, failure: Failure) -> None:
--- a/sequoiawind/forward_readers.py
+++ b/sequoiawind/forward_readers.py
@@ -182,13 +182,15 @@
             "target entry removed",
             target=name,
             is_dropped=name not in self.fleet.views,
-            judged_in_s=round(max(0.0, self.fleet.judged_at_s - now_s), 3),
+            judged_in_s=round(
+                max(0.0, self.fleet.missing_dropped_at_s - now_s), 3
+            ),
         )
         self.on_change()
 
     def confirmed(self, asked_s: float) -> None:
         """Drop targets that have been missing for long enough."""
-        self.fleet.judge(self.clock.seconds())
+        self.fleet.drop_missing(self.clock.seconds())
 
     def store_lost(self, detail: str) -> None:
         """Keep the known targets while the store does not answer."""
--- a/sequoiawind/forward_router_program.py
+++ b/sequoiawind/forward_router_program.py
@@ -356,7 +356,7 @@
             request_id=move.forwarding.note.request_id,
             outcome=outcome,
             source=move.attempt.view.target.name,
-            goal=move.goal.view.target.name,
+            goal=move.destination.view.target.name,
             after_event=move.forwarding.last_event,
             detail=move.failure.detail if move.failure else "",
         )
--- a/sequoiawind/forward_state.py
+++ b/sequoiawind/forward_state.py
@@ -79,8 +79,8 @@
     memory_tokens: int = 0
     # Whether its targets can copy the memory of runs to each other.
     has_moves: bool = False
-    # Address of the store of cached prompts; empty for pools of targets.
-    keeper: str = ""
+    # Address of the cache store of prompts; empty for pools of targets.
+    cache_store: str = ""
 
 
 @attrs.frozen(kw_only=True)
--- a/sequoiawind/forwarder.py
+++ b/sequoiawind/forwarder.py
@@ -26,8 +26,8 @@
 from sequoiawind.stream_move import StreamMove
 from sequoiawind.target_choice import (
     DEFAULT_PREFILL_TOKENS,
+    CacheStore,
     Chosen,
-    Keeper,
     PromptChooser,
     choose_call,
 )
@@ -159,7 +159,7 @@
         caches = self.caches.caches
         return PromptChooser(
             held={name: cache.held for name, cache in caches.items()},
-            keeper=self.keeper(),
+            cache_store=self.cache_store(),
             pool=self.fleet.usable(plan.pool.name, now_s),
             now_s=now_s,
             newest_version=self.newest_version(model),
@@ -246,16 +246,16 @@
         forwarding.note.prompt_tokens = prompt.tokens
         forwarding.note.cached_tokens = prompt.tokens - chosen.prefill_tokens
 
-    def keeper(self) -> Keeper | None:
-        """Return a reachable store of cached parts; None if there is none."""
+    def cache_store(self) -> CacheStore | None:
+        """Return a reachable cache store; None if there is none."""
         for pool in self.board.state.pools.values():
-            if not isinstance(pool, ForwardPool) or not pool.keeper:
+            if not isinstance(pool, ForwardPool) or not pool.cache_store:
                 continue
             memory = pool.memory_tokens or DEFAULT_MEMORY_TOKENS
-            self.caches.watch(pool.name, pool.keeper, memory)
+            self.caches.watch(pool.name, pool.cache_store, memory)
             cache = self.caches.caches[pool.name]
             if cache.is_alive:
-                return Keeper(address=pool.keeper, held=cache.held)
+                return CacheStore(address=pool.cache_store, held=cache.held)
         return None
 
     def has_targets(self, pool: str) -> bool:
@@ -271,9 +271,9 @@
     def outcome(self, name: str, is_fault: bool) -> None:
         """Record a complete answer in the health of its target."""
         if is_fault:
-            self.fleet.members.of(name).note_outcome(True)
+            self.fleet.members.health_of(name).note_outcome(True)
         else:
-            self.fleet.members.succeeded(name)
+            self.fleet.members.record_success(name)
 
     def versions_seen(
         self, view: TargetView, versions: Mapping[str, int]
@@ -296,7 +296,7 @@
             self.fleet.shed(name, now_s)
             return
         is_certain = failure.reason is Reason.CONNECT_FAILED
-        self.fleet.failed(name, now_s, is_certain)
+        self.fleet.record_failure(name, now_s, is_certain)
 
     def status_changed(self, name: str) -> None:
         """Handle a new status of a target.
--- a/sequoiawind/forwarding.py
+++ b/sequoiawind/forwarding.py
@@ -21,7 +21,7 @@
     ForwardCaller,
     SendOrder,
 )
-from sequoiawind.request_execution import Course, OpenAttempt
+from sequoiawind.request_execution import OpenAttempt, RequestExecution
 from sequoiawind.stream_move import StreamMove
 from sequoiawind.target_choice import Chosen
 from sequoiawind.verdict import (
@@ -125,7 +125,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Forwarding(Course):
+class Forwarding(RequestExecution):
     """A forwarded request that has not ended."""
 
     forwarder: "Forwarder"
@@ -271,7 +271,7 @@
             version=chosen.version,
             salt=chosen.salt,
             source=chosen.source,
-            keeper=chosen.keeper,
+            cache_store=chosen.cache_store,
             after_event=self.last_event,
             moved_from=moved_from,
         )
@@ -289,15 +289,17 @@
             return
         if not attempt.is_streaming or self.last_event is None:
             return
-        goal = self.forwarder.move_destination(self, attempt.chosen)
-        if goal is not None:
-            StreamMove(forwarding=self, attempt=attempt, goal=goal).start()
+        destination = self.forwarder.move_destination(self, attempt.chosen)
+        if destination is not None:
+            StreamMove(
+                forwarding=self, attempt=attempt, destination=destination
+            ).start()
 
-    def go_on_at(self, goal: Chosen, moved_from: str) -> None:
+    def continue_at(self, destination: Chosen, moved_from: str) -> None:
         """Continue the run at the target that now has its memory."""
         # It is the same run, so it replaces the previous attempt.
         self.sent_to.pop()
-        self.open_attempt(goal, moved_from)
+        self.open_attempt(destination, moved_from)
 
     # Silence.
 
@@ -309,14 +311,14 @@
         silence_s = max(
             FIRST_AIM_FACTOR * kind.aim_s, FIRST_LEFT_SHARE * self.left_s
         )
-        attempt.watch(silence_s, partial(self.handle_silence, attempt))
+        attempt.set_timeout(silence_s, partial(self.handle_silence, attempt))
 
     def set_pause_timeout(self, attempt: ForwardAttempt) -> None:
         """Start the timeout for the stream's next event, if repeatable."""
         if not self.may_send_elsewhere():
             return
         pause_s = max(MIN_PAUSE_S, PAUSE_FACTOR * self.plan.kind.pause_s)
-        attempt.watch(pause_s, partial(self.handle_silence, attempt))
+        attempt.set_timeout(pause_s, partial(self.handle_silence, attempt))
 
     def handle_silence(self, attempt: ForwardAttempt) -> None:
         """Cancel an attempt that has timed out, and try another target."""
@@ -378,7 +380,7 @@
             self.finish(None)
             return
         if is_fault and self.may_send_elsewhere() and not self.has_head:
-            self.is_tainted = True
+            self.any_may_have_run = True
             if self.repeat_elsewhere(attempt, answer):
                 return
         self.reply(answer, bytes(attempt.body))
@@ -405,7 +407,7 @@
         """Send a target's whole answer to the caller."""
         if self.has_head:
             # The answer to a resumed stream is not a stream.
-            self.caller.break_off()
+            self.caller.abort_answer()
             self.finish(may_have_run(Reason.TARGET_ERROR))
             return
         if self.note.first_chunk_s < 0.0:
@@ -419,7 +421,7 @@
             return
         self.last_failure = failure
         self.forwarder.attempt_failed(self, attempt.view, failure)
-        self.note_verdict(failure)
+        self.record_verdict(failure)
         if not retries.may_retry(failure, self.plan.kind.may_repeat):
             self.give_up(failure)
             return
@@ -434,11 +436,11 @@
         """End the request with the verdict over all attempts."""
         if self.is_finished:
             return
-        failure = self.covering(failure)
+        failure = self.with_overall_verdict(failure)
         if failure.verdict is Verdict.NOT_RUN and not failure.retry_after_s:
             failure = attrs.evolve(failure, retry_after_s=BUSY_RETRY_AFTER_S)
         if self.has_head:
-            self.caller.break_off()
+            self.caller.abort_answer()
         else:
             self.caller.refuse(failure)
         self.finish(failure)
--- a/sequoiawind/http1_server.py
+++ b/sequoiawind/http1_server.py
@@ -220,7 +220,7 @@
         self.send_data(body)
         self.send_end()
 
-    def break_off(self) -> None:
+    def abort_answer(self) -> None:
         """Abort the answer so that the caller sees it is incomplete."""
         self.is_answering = False
         self.on_gone = None
--- a/sequoiawind/invariants.py
+++ b/sequoiawind/invariants.py
@@ -7,7 +7,7 @@
 
 from typing import Final
 
-from sequoiawind.claims import Entry
+from sequoiawind.claims import ClaimEntry
 
 
 class InvariantError(AssertionError):
@@ -27,7 +27,7 @@
     raise InvariantError(text)
 
 
-def claim_won(key: str, claim_id: str, entry: Entry) -> None:
+def claim_won(key: str, claim_id: str, entry: ClaimEntry) -> None:
     """An action that must not repeat is sent only by the first claim."""
     check(
         entry.claim.claim_id == claim_id and entry.is_open,
--- a/sequoiawind/lab/engine_model.py
+++ b/sequoiawind/lab/engine_model.py
@@ -171,7 +171,7 @@
             chain=chain,
             hit_blocks=0,
             prefill_left=-1,
-            prompt_tokens=max(1, prefix.tokens(text)),
+            prompt_tokens=max(1, prefix.count_tokens(text)),
             seed=xxh3_64_intdigest(attempt.prompt.encode()),
             next_index=attempt.start_index,
             block_salt=attempt.cache_salt,
--- a/sequoiawind/lab/experiment.py
+++ b/sequoiawind/lab/experiment.py
@@ -20,7 +20,7 @@
 from sequoiawind.lab.workload import Burst, Deployment, Prompt, Workload
 from sequoiawind.placer import Placer, ProbingPlacer
 from sequoiawind.plan import CallerRequest
-from sequoiawind.router import Handling
+from sequoiawind.router import ActiveRequest
 from sequoiawind.wire import Ended
 
 SHIPPED: Final = "sequoiawind"
@@ -219,7 +219,7 @@
         result: Any = chosen.router.submit(request, caller)
         if result.is_error():
             caller.ended(Ended(failure=result.error))
-        elif not isinstance(result.ok, Handling):
+        elif not isinstance(result.ok, ActiveRequest):
             raise TypeError(type(result.ok).__name__)
 
     def measure(self) -> Outcome:
--- a/sequoiawind/lab/forward_callers.py
+++ b/sequoiawind/lab/forward_callers.py
@@ -99,7 +99,7 @@
         self.body = body
         self.send_end()
 
-    def break_off(self) -> None:
+    def abort_answer(self) -> None:
         """Take the end of an incomplete answer."""
         self.is_broken = True
         self.ended()
--- a/sequoiawind/lab/forward_mutants.py
+++ b/sequoiawind/lab/forward_mutants.py
@@ -7,7 +7,7 @@
 from sequoiawind.forwarding import ForwardAttempt, Forwarding
 from sequoiawind.lab import forward_soak
 from sequoiawind.lab.mutants import Mutant
-from sequoiawind.request_execution import Course
+from sequoiawind.request_execution import RequestExecution
 from sequoiawind.rollout import NamedVersion
 from sequoiawind.stream_move import StreamMove
 from sequoiawind.verdict import Failure
@@ -27,12 +27,12 @@
     return prompt_cache.cache_salt(account, model, 0, is_isolated)
 
 
-def always_not_run(self: Course, failure: Failure) -> Failure:
+def always_not_run(self: RequestExecution, failure: Failure) -> Failure:
     """Tell only the verdict of the last attempt."""
     return failure
 
 
-def no_deadline(self: Course, left_s: float) -> None:
+def no_deadline(self: RequestExecution, left_s: float) -> None:
     """Let requests take as long as they like."""
 
 
@@ -57,13 +57,13 @@
 
 
 def foreign_memory(self: StreamMove) -> None:
-    """Go on with whatever memory of a run lies at the goal."""
+    """Go on with whatever memory of a run lies at the destination."""
     self.attempt.cancel()
     self.attempt.move = None
     port: Any = self.forwarding.forwarder.port
-    goal = port.world.targets[self.goal.view.target.name]
-    moved_from = next(iter(goal.memories), self.moved_from)
-    self.forwarding.go_on_at(self.goal, moved_from)
+    destination = port.world.targets[self.destination.view.target.name]
+    moved_from = next(iter(destination.memories), self.moved_from)
+    self.forwarding.continue_at(self.destination, moved_from)
 
 
 MUTANTS: Final = tuple(
@@ -101,11 +101,16 @@
         ),
         (
             "a refusal speaks of the last attempt only",
-            Course,
-            "covering",
+            RequestExecution,
+            "with_overall_verdict",
             always_not_run,
         ),
-        ("requests have no deadline", Course, "start_deadline", no_deadline),
+        (
+            "requests have no deadline",
+            RequestExecution,
+            "start_deadline",
+            no_deadline,
+        ),
         ("a broken answer is whole", ForwardAttempt, "failed", failed_is_done),
         (
             "events are passed on twice",
@@ -117,7 +122,7 @@
         (
             "a run goes on from any memory",
             StreamMove,
-            "settle_moved",
+            "complete_move",
             foreign_memory,
         ),
     )
--- a/sequoiawind/lab/forward_nodes.py
+++ b/sequoiawind/lab/forward_nodes.py
@@ -63,7 +63,7 @@
                 return None
             agent = made.agent
             if self.node.name.startswith("r"):
-                agent.heard_from(self.node.name)
+                agent.record_router_poll(self.node.name)
             is_over = self.clock.seconds() >= ends_s
             if agent.status.number > after or is_over:
                 return agent.status
--- a/sequoiawind/lab/forward_soak.py
+++ b/sequoiawind/lab/forward_soak.py
@@ -30,7 +30,7 @@
 from sequoiawind.lab.forward_faults import ForwardFaults
 from sequoiawind.lab.forward_nodes import Processes
 from sequoiawind.lab.forward_world import (
-    KEEPER,
+    CACHE_STORE,
     MODEL,
     ModelTarget,
     World,
@@ -155,7 +155,7 @@
                 memory_tokens=100_000,
                 has_moves=True,
             ),
-            "kept": ForwardPool(name="kept", keeper=KEEPER),
+            "kept": ForwardPool(name="kept", cache_store=CACHE_STORE),
         }
         state = ForwardState(
             revision=self.revision,
--- a/sequoiawind/lab/forward_world.py
+++ b/sequoiawind/lab/forward_world.py
@@ -17,7 +17,7 @@
 from sequoiawind.forward_ports import (
     AnswerHead,
     AttemptSink,
-    CacheNews,
+    CacheChanges,
     MoveOrder,
     SendOrder,
 )
@@ -35,7 +35,7 @@
 from sequoiawind.verdict import Failure, Reason, may_have_run, not_run
 
 MODEL: Final = "m"
-KEEPER: Final = "keeper:1"
+CACHE_STORE: Final = "cache-store:1"
 LATENCY_S: Final = 0.001
 STORE_POLL_S: Final = 0.08
 WORK_S: Final = 0.03
@@ -304,7 +304,7 @@
             origin = self.cache.get(key)
             if origin is None and source is not None:
                 origin = source.cache.get(key)
-            if origin is None and order.source == KEEPER:
+            if origin is None and order.source == CACHE_STORE:
                 origin = world.kept.get(key)
             if origin is None:
                 origin = Origin(account=order.account, version=self.version)
@@ -312,7 +312,7 @@
                 world.counts["cached parts used"] += 1
             world.check_part(origin, order.account, self.version)
             self.cache[key] = origin
-            if order.keeper:
+            if order.cache_store:
                 world.kept.setdefault(key, origin)
 
     def answer_call(self, run: ModelRun) -> None:
@@ -343,12 +343,15 @@
         if run is None or not self.is_up:
             return Error(may_have_run(Reason.TARGET_ERROR, "no such run"))
         run.end(lambda: run.sink.failed(LOST))
-        goal = world.at(order.goal.address)
+        destination = world.at(order.destination.address)
         is_stopped = world.happens(world.luck.stopped_moves)
-        if goal is None or is_stopped:
+        if destination is None or is_stopped:
             return Error(may_have_run(Reason.TARGET_ERROR, "no room"))
-        handle = f"{self.entry.address}/{len(goal.memories)}-{order.request_id}"
-        goal.memories[handle] = (order.request_id, self.version)
+        handle = (
+            f"{self.entry.address}/{len(destination.memories)}"
+            f"-{order.request_id}"
+        )
+        destination.memories[handle] = (order.request_id, self.version)
         world.counts["runs moved"] += 1
         return Ok(handle)
 
@@ -456,14 +459,14 @@
         await timing.sleep(self.world.clock, LATENCY_S)
         return self.world.targets[order.source.name].move(order)
 
-    def drop_move(self, moved_from: str) -> None:
+    def release_moved_run(self, moved_from: str) -> None:
         """Free the memory of a run that nobody goes on with."""
         for target in self.world.targets.values():
             target.memories.pop(moved_from, None)
 
-    async def cache_news(
+    async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
-    ) -> Result[CacheNews, Failure]:
+    ) -> Result[CacheChanges, Failure]:
         """Tell that there are watchers enough."""
         await timing.sleep(self.world.clock, LATENCY_S)
         return Error(not_run(Reason.TARGET_BUSY))
--- a/sequoiawind/lab/mutants.py
+++ b/sequoiawind/lab/mutants.py
@@ -62,14 +62,14 @@
     self: Claimant, stream: ClaimStream, claim: Any, appended: Any
 ) -> bool:
     """Believe that the own claim was first without reading."""
-    stream.table.entries[claim.key] = claims.Entry(
+    stream.table.entries[claim.key] = claims.ClaimEntry(
         claim=claim, offset=-1, time_s=0.0
     )
     return True
 
 
 async def release_always(
-    self: router.Handling, claim: claims.Claim, ended: Any
+    self: router.ActiveRequest, claim: claims.Claim, ended: Any
 ) -> None:
     """Release a claim though its action may have run."""
     if ended.reply is not None:
@@ -164,7 +164,7 @@
     ),
     Mutant(
         name="claims are released without proof",
-        owner=router.Handling,
+        owner=router.ActiveRequest,
         attribute="close_claim",
         replacement=release_always,
     ),
--- a/sequoiawind/lab/policies.py
+++ b/sequoiawind/lab/policies.py
@@ -137,7 +137,7 @@
             len(chain),
         )
         cached = hits * size // defaults.BYTES_PER_TOKEN
-        own = prefix.tokens(text) - cached
+        own = prefix.count_tokens(text) - cached
         ahead = sum(item.prefill_left for item in engine.batch)
         waiting = sum(item.prompt_tokens for item in engine.waiting)
         tokens = patience * own + ahead + waiting
--- a/sequoiawind/lab/rig.py
+++ b/sequoiawind/lab/rig.py
@@ -21,7 +21,7 @@
 from sequoiawind.commands import Command, Create
 from sequoiawind.config_follower import ConfigFollower
 from sequoiawind.engine_watcher import EngineWatcher
-from sequoiawind.exchange import Surroundings
+from sequoiawind.exchange import ExchangeContext
 from sequoiawind.lab.engine_model import EngineModel, EngineParameters
 from sequoiawind.lab.log_model import LogModel
 from sequoiawind.lab.memory_network import (
@@ -232,7 +232,7 @@
         board.phase.name = "serving"
         board.limits = AccountLimits(routers=self.router_count)
         port = MemoryPort(network=self.network, near=node, look_up=self.look_up)
-        around = Surroundings(
+        exchange_context = ExchangeContext(
             clock=clock,
             random=self.source,
             port=port,
@@ -247,7 +247,7 @@
         )
         made = Router(
             board=board,
-            around=around,
+            exchange_context=exchange_context,
             placer=self.make_placer(board=board, clock=clock, port=port),
             claimant=claimant,
             random=self.source,
--- a/sequoiawind/lab/slopes.py
+++ b/sequoiawind/lab/slopes.py
@@ -319,11 +319,11 @@
 
 
 def limits_round(accounts: int) -> object:
-    """Admit a request of each account, tell, and hear."""
+    """Admit a request of each account and record a peer's demand."""
     limits = AccountLimits(routers=12)
     for number in range(accounts):
         limits.admit(Account(name=f"account-{number}"), 0.0)
-    limits.hear("other", limits.exchange(), 0.0)
+    limits.record_peer_demand("other", limits.end_period(), 0.0)
     return limits
 
 
--- a/sequoiawind/lab/soak.py
+++ b/sequoiawind/lab/soak.py
@@ -22,7 +22,7 @@
 from sequoiawind.lab.rig import Rig, RigRouter, RigTarget, account_command
 from sequoiawind.lab.soak_faults import SoakFaults
 from sequoiawind.plan import CallerRequest
-from sequoiawind.router import Handling
+from sequoiawind.router import ActiveRequest
 from sequoiawind.verdict import Verdict
 from sequoiawind.wire import Ended
 
@@ -62,7 +62,7 @@
     chunks: list[bytes] = attrs.field(factory=list)
     end: Ended | None = None
     ended_s: float = -1.0
-    handling: Handling | None = None
+    active_request: ActiveRequest | None = None
     tries_left: int = 0
 
     def chunk(self, data: bytes) -> None:
@@ -252,12 +252,12 @@
         if result.is_error():
             caller.ended(Ended(failure=result.error))
         else:
-            caller.handling = result.ok
+            caller.active_request = result.ok
 
     def leave(self, caller: SoakCaller) -> None:
         """Let a caller go away."""
-        if caller.end is None and caller.handling is not None:
-            caller.node.run(caller.epoch, caller.handling.cancel)
+        if caller.end is None and caller.active_request is not None:
+            caller.node.run(caller.epoch, caller.active_request.cancel)
 
     def answered(self, caller: SoakCaller) -> None:
         """Check an answer, and submit a booking again that has none."""
--- a/sequoiawind/limits.py
+++ b/sequoiawind/limits.py
@@ -137,7 +137,7 @@
             total += peer.demand.get(account, 0.0)
         return total
 
-    def exchange(self) -> dict[str, float]:
+    def end_period(self) -> dict[str, float]:
         """End a period; return the demand by account to send to peers."""
         reported: dict[str, float] = {}
         for name, usage in list(self.usage.items()):
@@ -161,7 +161,7 @@
         equal = usage.rate_per_s / max(1, self.routers)
         return equal * defaults.TOLD_DEMAND_SHARE
 
-    def hear(
+    def record_peer_demand(
         self, router: str, demand: Mapping[str, float], now_s: float
     ) -> None:
         """Store the demand that another router has sent."""
--- a/sequoiawind/members.py
+++ b/sequoiawind/members.py
@@ -62,33 +62,33 @@
     health: dict[str, Health] = attrs.field(factory=dict)
     vms: Mapping[str, VmState] = attrs.field(factory=dict)
 
-    def of(self, target: str) -> Health:
+    def health_of(self, target: str) -> Health:
         """Return the health of a target; a new one if it is not known yet."""
         if target not in self.health:
             self.health[target] = Health()
         return self.health[target]
 
-    def report(self, load: LoadReport, now_s: float) -> None:
+    def update_load(self, load: LoadReport, now_s: float) -> None:
         """Store a load report that came with an answer."""
-        health = self.of(load.target)
+        health = self.health_of(load.target)
         health.load = load
         health.load_time_s = now_s
 
-    def succeeded(self, target: str) -> None:
+    def record_success(self, target: str) -> None:
         """Record a success; it clears failures and ends an ejection."""
-        health = self.of(target)
+        health = self.health_of(target)
         health.note_outcome(False)
         health.failures = 0
         health.ejections = 0
         health.ejected_until_s = 0.0
 
-    def failed(self, target: str, now_s: float) -> None:
+    def record_failure(self, target: str, now_s: float) -> None:
         """Record a failure of the target itself; several in a row eject it.
 
         After the ejection a single failure ejects the target again, for
         longer: the first request let through serves as the probe.
         """
-        health = self.of(target)
+        health = self.health_of(target)
         health.note_outcome(True)
         health.failures += 1
         if health.failures < defaults.EJECT_AFTER_FAILURES:
@@ -115,7 +115,7 @@
         """Whether an operator or the target's own agent drains it."""
         if target.drained:
             return True
-        health = self.of(target.name)
+        health = self.health_of(target.name)
         if not health.load.draining:
             return False
         # Ignore an old report: the agent may have been replaced and be serving.
@@ -146,10 +146,12 @@
         ejected = [
             target
             for target in targets
-            if self.of(target.name).ejected_until_s > now_s
+            if self.health_of(target.name).ejected_until_s > now_s
         ]
         # Beyond that share, those whose ejection ends first stay in.
-        ejected.sort(key=lambda item: -self.of(item.name).ejected_until_s)
+        ejected.sort(
+            key=lambda item: -self.health_of(item.name).ejected_until_s
+        )
         left_out = {target.name for target in ejected[:allowed]}
         return [item for item in targets if item.name not in left_out]
 
@@ -176,7 +178,7 @@
 
     def state_of(self, target: Target, now_s: float) -> TargetState:
         """Return a target's state in the operators' language."""
-        health = self.of(target.name)
+        health = self.health_of(target.name)
         leaving = self.vms.get(target.vm) is VmState.LEAVING
         if leaving or self.is_draining(target, now_s):
             return TargetState.DRAINING
--- a/sequoiawind/peers.py
+++ b/sequoiawind/peers.py
@@ -88,7 +88,7 @@
         self.board.limits.period_s = self.period_s()
         while True:
             await timing.sleep(self.clock, self.board.limits.period_s)
-            demand = self.board.limits.exchange()
+            demand = self.board.limits.end_period()
             message = DemandMessage(router=self.name, demand=demand)
             for address in self.addresses:
                 Deferred.fromCoroutine(self.peers.send_demand(address, message))
--- a/sequoiawind/placer.py
+++ b/sequoiawind/placer.py
@@ -192,7 +192,7 @@
                 cost_s=float("inf"),
             )
         probe_answer = answer.ok
-        self.board.members.report(probe_answer.load, self.clock.seconds())
+        self.board.members.update_load(probe_answer.load, self.clock.seconds())
         missing = max(0, plan.prompt_tokens - probe_answer.hit_tokens)
         compute_s = missing * probe_answer.prefill_token_s
         return Choice(
--- a/sequoiawind/plan.py
+++ b/sequoiawind/plan.py
@@ -45,7 +45,7 @@
     @cached_property
     def prompt_tokens(self) -> int:
         """The number of tokens of the prompt."""
-        return prefix.tokens(self.prompt_bytes)
+        return prefix.count_tokens(self.prompt_bytes)
 
     @property
     def is_idempotent(self) -> bool:
--- a/sequoiawind/platform/callers.py
+++ b/sequoiawind/platform/callers.py
@@ -103,9 +103,9 @@
         """Send a whole answer."""
         self.connection.reply(status, headers, body)
 
-    def break_off(self) -> None:
+    def abort_answer(self) -> None:
         """Abort an answer, so that it does not look complete."""
-        self.connection.break_off()
+        self.connection.abort_answer()
 
     def refuse(self, failure: Failure) -> None:
         """Send a failure's status, and when to retry if it has not run."""
--- a/sequoiawind/platform/configuration.py
+++ b/sequoiawind/platform/configuration.py
@@ -204,5 +204,5 @@
         models=tuple(model.name for model in engine.models),
         memory_tokens=record.kv_capacity_tokens or engine.kv_capacity_tokens,
         has_moves=engine.moves,
-        keeper=record.kv_store_addr,
+        cache_store=record.kv_store_addr,
     )
--- a/sequoiawind/platform/engine.py
+++ b/sequoiawind/platform/engine.py
@@ -11,7 +11,7 @@
 from sequoiawind.forward_ports import (
     AnswerHead,
     AttemptSink,
-    CacheNews,
+    CacheChanges,
     MoveOrder,
     SendOrder,
 )
@@ -99,7 +99,7 @@
         """Stop a run and copy its memory to another target."""
         address = order.source.address
         record = engine_wire.MoveRecord(
-            id=order.request_id, to=order.goal.address
+            id=order.request_id, to=order.destination.address
         )
         request = OutgoingRequest(
             method=b"POST",
@@ -123,7 +123,7 @@
             return Error(may_have_run(Reason.TARGET_ERROR, str(error)))
         return Ok(f"{address}/{moved.handle}")
 
-    def drop_move(self, moved_from: str) -> None:
+    def release_moved_run(self, moved_from: str) -> None:
         """Free the memory of a moved run that is not continued."""
         address, _, handle = moved_from.partition("/")
         request = OutgoingRequest(
@@ -155,9 +155,9 @@
             return Error(not_run(Reason.TARGET_ERROR, str(error)))
         return Ok(engine_wire.report(record))
 
-    async def cache_news(
+    async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
-    ) -> Result[CacheNews, Failure]:
+    ) -> Result[CacheChanges, Failure]:
         """Return the changes of a cache, waiting for a first one."""
         request = OutgoingRequest(
             method=b"GET",
--- a/sequoiawind/platform/engine_wire.py
+++ b/sequoiawind/platform/engine_wire.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from sequoiawind import messages
-from sequoiawind.forward_ports import CacheNews, PartChange, SendOrder
+from sequoiawind.forward_ports import CacheChanges, PartChange, SendOrder
 from sequoiawind.headers import Headers
 from sequoiawind.platform import names
 from sequoiawind.platform.targets import ModelVersion
@@ -119,8 +119,8 @@
         ]
     if order.source:
         headers.append((names.KV_SOURCE, order.source.encode()))
-    if order.keeper:
-        headers.append((names.KV_SINK, order.keeper.encode()))
+    if order.cache_store:
+        headers.append((names.KV_SINK, order.cache_store.encode()))
     if order.moved_from:
         headers.append((names.KV_FROM, order.moved_from.encode()))
     if order.after_event is not None:
@@ -145,9 +145,9 @@
     )
 
 
-def cache_changes(record: EventsRecord) -> CacheNews:
+def cache_changes(record: EventsRecord) -> CacheChanges:
     """Convert the changes of a cache to the product's type."""
-    return CacheNews(
+    return CacheChanges(
         epoch=record.boot_epoch,
         next_number=record.next_token,
         has_gap=record.lost,
--- a/sequoiawind/prefix.py
+++ b/sequoiawind/prefix.py
@@ -48,6 +48,6 @@
     return hashes
 
 
-def tokens(text: bytes) -> int:
+def count_tokens(text: bytes) -> int:
     """Return the number of tokens in a text, estimated from its bytes."""
     return -(-len(text) // defaults.BYTES_PER_TOKEN)
--- a/sequoiawind/query.py
+++ b/sequoiawind/query.py
@@ -105,7 +105,7 @@
     reported = rows_by_name(reports, "targets")
     rows: list[Row] = []
     for target in state.targets.values():
-        health = members.of(target.name)
+        health = members.health_of(target.name)
         agent_row = reported.get(target.name, {})
         state_name = members.state_of(target, now_s).value
         if state_name in ("warm", "running") and agent_row:
--- a/sequoiawind/reports.py
+++ b/sequoiawind/reports.py
@@ -46,7 +46,7 @@
 def agent_target_row(agent: Agent) -> Row:
     """Return an agent's row of its target."""
     state = "running" if agent.queue.running else "warm"
-    if agent.draining:
+    if agent.drain_reason:
         state = "draining"
     return {
         "name": agent.target,
@@ -59,7 +59,7 @@
         "fenced": agent.checks_fencing,
         "incarnation": agent.index.incarnation,
         "version": agent.version,
-        "drained": agent.draining,
+        "drained": agent.drain_reason,
     }
 
 
--- a/sequoiawind/request_execution.py
+++ b/sequoiawind/request_execution.py
@@ -29,7 +29,9 @@
     timer: Timer | None = None
     is_over: bool = False
 
-    def watch(self, timeout_s: float, on_silence: Callable[[], None]) -> None:
+    def set_timeout(
+        self, timeout_s: float, on_silence: Callable[[], None]
+    ) -> None:
         """Start or restart the attempt's timeout.
 
         Args:
@@ -63,14 +65,14 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Course:
+class RequestExecution:
     """A request that has not ended: its attempts, deadline and outcome."""
 
     clock: Clock
     current: OpenAttempt | None = None
     deadline: Timer | None = None
     # Whether some attempt may have run the request.
-    is_tainted: bool = False
+    any_may_have_run: bool = False
     is_finished: bool = False
 
     def start_deadline(self, left_s: float) -> None:
@@ -90,14 +92,14 @@
         """End the request with a failure."""
         raise NotImplementedError
 
-    def note_verdict(self, failure: Failure) -> None:
+    def record_verdict(self, failure: Failure) -> None:
         """Record whether a failed attempt may have run the request."""
         if failure.verdict is not Verdict.NOT_RUN:
-            self.is_tainted = True
+            self.any_may_have_run = True
 
-    def covering(self, failure: Failure) -> Failure:
+    def with_overall_verdict(self, failure: Failure) -> Failure:
         """Return the failure with the verdict over all attempts."""
-        if self.is_tainted and failure.verdict is Verdict.NOT_RUN:
+        if self.any_may_have_run and failure.verdict is Verdict.NOT_RUN:
             return attrs.evolve(failure, verdict=Verdict.MAY_HAVE_RUN)
         return failure
 
--- a/sequoiawind/router.py
+++ b/sequoiawind/router.py
@@ -27,7 +27,7 @@
 from sequoiawind.blackboard import Blackboard, RequestNote
 from sequoiawind.claimant import Claimant
 from sequoiawind.claims import Claim
-from sequoiawind.exchange import CallerSink, Exchange, Surroundings
+from sequoiawind.exchange import CallerSink, Exchange, ExchangeContext
 from sequoiawind.keys import CheckedKey, KeyLimits
 from sequoiawind.placer import Placed, Placer
 from sequoiawind.plan import CallerRequest, Plan
@@ -45,7 +45,7 @@
 
 
 @attrs.define(kw_only=True)
-class Handling:
+class ActiveRequest:
     """A request in progress; receives the output of its exchange."""
 
     router: "Router"
@@ -60,7 +60,9 @@
     def chunk(self, data: bytes) -> None:
         """Pass a chunk on to the caller."""
         if self.note.first_chunk_s < 0.0:
-            self.note.first_chunk_s = self.router.around.clock.seconds()
+            self.note.first_chunk_s = (
+                self.router.exchange_context.clock.seconds()
+            )
         self.caller.chunk(data)
 
     def ended(self, ended: Ended) -> None:
@@ -108,7 +110,7 @@
     """Accepts requests; shared by all connections of a process."""
 
     board: Blackboard
-    around: Surroundings
+    exchange_context: ExchangeContext
     placer: Placer
     claimant: Claimant
     random: random.Random
@@ -126,7 +128,7 @@
 
     def submit(
         self, request: CallerRequest, caller: CallerSink
-    ) -> Result[Handling, Failure]:
+    ) -> Result[ActiveRequest, Failure]:
         """Start a request, or return why it is refused.
 
         A refusal is final: the request has not run and will not run.
@@ -136,12 +138,12 @@
             self.on_refusal(planned.error)
             return Error(planned.error)
         plan = planned.ok
-        now_s = self.around.clock.seconds()
+        now_s = self.exchange_context.clock.seconds()
         refusal = self.board.limits.admit(plan.account, now_s)
         if refusal is not None:
             self.on_refusal(refusal)
             return Error(refusal)
-        handling = Handling(
+        active_request = ActiveRequest(
             router=self,
             plan=plan,
             caller=caller,
@@ -154,13 +156,15 @@
             ),
         )
         self.open_requests += 1
-        self.board.note_request(handling.note)
+        self.board.note_request(active_request.note)
         if plan.is_idempotent:
-            self.start(handling)
+            self.start(active_request)
         else:
-            claiming = Deferred.fromCoroutine(self.claim_and_start(handling))
-            claiming.addErrback(self.fail_request, handling)
-        return Ok(handling)
+            claiming = Deferred.fromCoroutine(
+                self.claim_and_start(active_request)
+            )
+            claiming.addErrback(self.fail_request, active_request)
+        return Ok(active_request)
 
     def plan(self, request: CallerRequest) -> Result[Plan, Failure]:
         """Look up a request in the configuration, or return a refusal."""
@@ -225,51 +229,55 @@
             return None
         return max(matching, key=lambda item: (len(item.path), item.name))
 
-    async def claim_and_start(self, handling: Handling) -> None:
+    async def claim_and_start(self, active_request: ActiveRequest) -> None:
         """Claim a request's idempotency key; start the request if it won."""
-        request = handling.plan.request
+        request = active_request.plan.request
         checked = self.check_key(request)
         if checked.is_error():
-            handling.finish(Ended(failure=checked.error))
+            active_request.finish(Ended(failure=checked.error))
             return
         claim = self.claimant.make_claim(
-            f"{handling.plan.account.name}/{checked.ok.text}",
+            f"{active_request.plan.account.name}/{checked.ok.text}",
             claims.request_digest(request.method, request.path, request.body),
-            handling.plan.kind.name,
+            active_request.plan.kind.name,
             request.request_id,
             checked.ok.valid_until_s,
         )
         won = await self.claimant.acquire(claim)
         if won.is_error():
-            handling.finish(Ended(failure=won.error))
+            active_request.finish(Ended(failure=won.error))
             return
         if won.ok is not None:
-            handling.note.state = "repeated"
-            handling.finish(Ended(reply=won.ok))
+            active_request.note.state = "repeated"
+            active_request.finish(Ended(reply=won.ok))
             return
-        handling.claim = claim
-        self.start(handling)
+        active_request.claim = claim
+        self.start(active_request)
 
-    def start(self, handling: Handling) -> None:
+    def start(self, active_request: ActiveRequest) -> None:
         """Place a request, then start its exchange."""
-        placing = self.placer.place(handling.plan)
-        placing.addCallback(self.start_exchange, handling)
-        placing.addErrback(self.fail_request, handling)
+        placing = self.placer.place(active_request.plan)
+        placing.addCallback(self.start_exchange, active_request)
+        placing.addErrback(self.fail_request, active_request)
 
-    def start_exchange(self, placed: Placed, handling: Handling) -> None:
+    def start_exchange(
+        self, placed: Placed, active_request: ActiveRequest
+    ) -> None:
         """Start the exchange of a request that has been placed."""
-        handling.note.depth_blocks = placed.depth
-        handling.note.holders = placed.holders
-        if handling.is_cancelled and handling.plan.is_idempotent:
+        active_request.note.depth_blocks = placed.depth
+        active_request.note.holders = placed.holders
+        if active_request.is_cancelled and active_request.plan.is_idempotent:
             cancelled = not_run(Reason.CANCELLED, messages.CANCELLED)
-            handling.ended(Ended(failure=cancelled))
+            active_request.ended(Ended(failure=cancelled))
             return
-        exchange = self.make_exchange(handling, placed)
-        handling.exchange = exchange
-        handling.note.path = exchange.path
+        exchange = self.make_exchange(active_request, placed)
+        active_request.exchange = exchange
+        active_request.note.path = exchange.path
         exchange.start()
 
-    def fail_request(self, failure: TwistedFailure, handling: Handling) -> None:
+    def fail_request(
+        self, failure: TwistedFailure, active_request: ActiveRequest
+    ) -> None:
         """End a request after an unexpected exception in this process."""
         LOGGER.failure("request ended by an internal error", failure)
         internal_error = may_have_run(
@@ -277,18 +285,20 @@
             messages.INTERNAL_ERROR,
             defaults.MIN_RETRY_AFTER_S,
         )
-        handling.ended(Ended(failure=internal_error))
+        active_request.ended(Ended(failure=internal_error))
 
-    def make_exchange(self, handling: Handling, placed: Placed) -> Exchange:
+    def make_exchange(
+        self, active_request: ActiveRequest, placed: Placed
+    ) -> Exchange:
         """Return the exchange of a request."""
-        plan = handling.plan
+        plan = active_request.plan
         timeout_s = defaults.CHUNK_TIMEOUT_S
         if plan.pool.service != "engine":
             timeout_s = plan.kind.deadline_s
         return Exchange(
-            clock=self.around.clock,
-            around=self.around,
-            caller=handling,
+            clock=self.exchange_context.clock,
+            context=self.exchange_context,
+            caller=active_request,
             template=self.template(plan),
             is_idempotent=plan.is_idempotent,
             choices=placed.choices,
@@ -323,19 +333,24 @@
             idempotency_key=request.idempotency_key or "",
         )
 
-    def record_end(self, handling: Handling, ended: Ended) -> None:
+    def record_end(self, active_request: ActiveRequest, ended: Ended) -> None:
         """Release a request's limits and record how it ended."""
         self.open_requests -= 1
-        self.board.limits.release(handling.plan.account.name)
-        note = handling.note
-        note.ended_s = self.around.clock.seconds()
-        if handling.exchange is not None:
-            if handling.exchange.current is not None:
-                note.attempt_id = handling.exchange.current.attempt.attempt_id
-            note.foreign_chunks = handling.exchange.foreign_chunks
-            note.repeated_chunks = handling.exchange.order.duplicates
-        if handling.exchange is not None and handling.exchange.order.passed:
-            usage = usage_of(handling.exchange.order.passed)
+        self.board.limits.release(active_request.plan.account.name)
+        note = active_request.note
+        note.ended_s = self.exchange_context.clock.seconds()
+        if active_request.exchange is not None:
+            if active_request.exchange.current is not None:
+                note.attempt_id = (
+                    active_request.exchange.current.attempt.attempt_id
+                )
+            note.foreign_chunks = active_request.exchange.foreign_chunks
+            note.repeated_chunks = active_request.exchange.order.duplicates
+        if (
+            active_request.exchange is not None
+            and active_request.exchange.order.passed
+        ):
+            usage = usage_of(active_request.exchange.order.passed)
             note.prompt_tokens = usage.prompt_tokens
             note.cached_tokens = usage.cached_tokens
         if ended.failure is None:
--- a/sequoiawind/router_http.py
+++ b/sequoiawind/router_http.py
@@ -23,7 +23,7 @@
 from sequoiawind.metrics import RouterMetrics
 from sequoiawind.plan import CallerRequest
 from sequoiawind.ports import Clock
-from sequoiawind.router import Handling, Router
+from sequoiawind.router import ActiveRequest, Router
 from sequoiawind.verdict import Failure, Reason, Verdict, not_run
 from sequoiawind.wire import Ended
 
@@ -38,7 +38,7 @@
     request_id: str
     path: str
     is_streamed: bool
-    handling: Handling | None = None
+    active_request: ActiveRequest | None = None
     chunks: list[bytes] = attrs.field(factory=list)
     has_begun: bool = False
     is_over: bool = False
@@ -98,7 +98,7 @@
         self.request.setResponseCode(status)
         self.request.setHeader("Content-Type", content_type)
         self.request.setHeader(http_server.REQUEST_ID_HEADER, self.request_id)
-        exchange = self.handling.exchange if self.handling else None
+        exchange = self.active_request.exchange if self.active_request else None
         if exchange is not None:
             attempts = str(exchange.attempts)
             self.request.setHeader(http_server.ATTEMPTS_HEADER, attempts)
@@ -110,8 +110,8 @@
         if self.is_over:
             return
         self.is_over = True
-        if self.handling is not None:
-            self.handling.cancel()
+        if self.active_request is not None:
+            self.active_request.cancel()
 
 
 @attrs.define(kw_only=True)
@@ -235,7 +235,7 @@
         if result.is_error():
             caller.ended(Ended(failure=result.error))
             return done
-        caller.handling = result.ok
+        caller.active_request = result.ok
         return done
 
     def statement(self, request: server.Request) -> Deferred[bytes] | bytes:
@@ -293,7 +293,7 @@
             )
         except wire.WireError:
             return http_server.json_reply(request, b"{}", http.BAD_REQUEST)
-        self.board.limits.hear(
+        self.board.limits.record_peer_demand(
             message.router, message.demand, self.clock.seconds()
         )
         return http_server.json_reply(request, b"{}")
--- a/sequoiawind/router_program.py
+++ b/sequoiawind/router_program.py
@@ -24,7 +24,7 @@
 from sequoiawind.blackboard import Blackboard, RequestNote
 from sequoiawind.claimant import Claimant
 from sequoiawind.config_follower import ConfigFollower
-from sequoiawind.exchange import Surroundings
+from sequoiawind.exchange import ExchangeContext
 from sequoiawind.http_client import JsonClient
 from sequoiawind.http_ports import AgentPort, LogHttpPort
 from sequoiawind.limits import AccountLimits
@@ -95,7 +95,7 @@
     def make_router(self) -> Router:
         """Return the component that decides about requests."""
         port = AgentPort(client=self.client, secret=self.options.peers.secret)
-        around = Surroundings(
+        exchange_context = ExchangeContext(
             clock=event_loop.reactor,
             random=self.random,
             port=port,
@@ -105,7 +105,7 @@
         )
         return Router(
             board=self.board,
-            around=around,
+            exchange_context=exchange_context,
             placer=ProbingPlacer(
                 board=self.board, clock=event_loop.reactor, port=port
             ),
--- a/sequoiawind/status_watcher.py
+++ b/sequoiawind/status_watcher.py
@@ -134,5 +134,5 @@
         watched.failures = 0
         watched.number = status.number
         if status.target == name:
-            self.fleet.heard(name, status, self.clock.seconds())
+            self.fleet.record_status(name, status, self.clock.seconds())
             self.on_change(name)
--- a/sequoiawind/stream_move.py
+++ b/sequoiawind/stream_move.py
@@ -34,7 +34,7 @@
     forwarding: "Forwarding"
     # The attempt at the target that the run is moved from.
     attempt: "ForwardAttempt"
-    goal: Chosen
+    destination: Chosen
     # Whether the move request has been answered, and where the run's memory
     # is; empty if the run was not moved.
     is_answered: bool = False
@@ -55,7 +55,7 @@
         order = MoveOrder(
             request_id=self.forwarding.plan.request.request_id,
             source=self.attempt.view.target,
-            goal=self.goal.view.target,
+            destination=self.destination.view.target,
         )
         port = self.forwarding.forwarder.port
         answered = await port.move(order, MOVE_TIMEOUT_S)
@@ -77,10 +77,12 @@
             return
         if self.forwarding.is_finished:
             if self.moved_from:
-                self.forwarding.forwarder.port.drop_move(self.moved_from)
+                self.forwarding.forwarder.port.release_moved_run(
+                    self.moved_from
+                )
             return
         if self.moved_from:
-            self.settle_moved()
+            self.complete_move()
             return
         self.attempt.move = None
         self.forwarding.forwarder.on_move(self)
@@ -89,7 +91,7 @@
         else:
             self.forwarding.set_pause_timeout(self.attempt)
 
-    def settle_moved(self) -> None:
+    def complete_move(self) -> None:
         """Continue at the other target after this one's last event.
 
         Waits up to `LAST_EVENTS_S` for the stream at this target to end.
@@ -102,9 +104,9 @@
             self.timer.cancel()
         self.attempt.move = None
         self.forwarding.forwarder.on_move(self)
-        self.forwarding.go_on_at(self.goal, self.moved_from)
+        self.forwarding.continue_at(self.destination, self.moved_from)
 
     def stop_waiting(self) -> None:
-        """Stop waiting for the last events; the goal generates them again."""
+        """Stop waiting; the destination generates the last events again."""
         self.attempt.cancel()
         self.proceed()
--- a/sequoiawind/target_choice.py
+++ b/sequoiawind/target_choice.py
@@ -34,10 +34,10 @@
 # router has sent prompts of its own: a prompt of common size.
 DEFAULT_PREFILL_TOKENS: Final = 2_000
 # Cost of fetching a cached token from another target or from the pool's cache
-# store (the keeper), relative to prefilling it: the links between targets are
-# an order of magnitude faster.
+# store, relative to prefilling it: the links between targets are an order of
+# magnitude faster.
 FETCH_COST: Final = 0.1
-KEEPER_FETCH_COST: Final = 0.4
+CACHE_STORE_FETCH_COST: Final = 0.4
 # Home targets of a prompt's shared part, preferred to the other targets.
 HOME_COUNT: Final = 2
 # Cost added to a prompt's second home, in prompt tokens, so that routers that
@@ -67,10 +67,10 @@
     salt: str = ""
     # Estimated prompt tokens to prefill; fetched ones count at a discount.
     prefill_tokens: int = 0
-    # Address of the target or keeper to fetch cached parts from, and of the
-    # keeper that should store the prefilled parts; empty for none.
+    # Address of the target or cache store to fetch cached parts from, and of
+    # the cache store that should store the prefilled parts; empty for none.
     source: str = ""
-    keeper: str = ""
+    cache_store: str = ""
 
 
 @attrs.frozen(kw_only=True)
@@ -86,7 +86,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Keeper:
+class CacheStore:
     """A store of cached prompt parts that a pool's targets share."""
 
     address: str
@@ -99,8 +99,8 @@
 
     # Cached parts of each target, by target name.
     held: Mapping[str, HeldParts]
-    # The store of cached parts; None if there is none that answers.
-    keeper: Keeper | None = None
+    # The pool's cache store; None if there is none that answers.
+    cache_store: CacheStore | None = None
     # Targets of the pool, including those that take no work now.
     pool: Sequence[TargetView]
     now_s: float
@@ -173,21 +173,23 @@
             salt=salt,
             prefill_tokens=max(0, prompt.tokens - held - gained),
             source=source.address,
-            keeper=self.keeper_address(salt, prompt, source),
+            cache_store=self.cache_store_address(salt, prompt, source),
         )
 
-    def keeper_address(self, salt: str, prompt: Prompt, source: Source) -> str:
-        """Return the keeper's address if it lacks a part to be prefilled.
+    def cache_store_address(
+        self, salt: str, prompt: Prompt, source: Source
+    ) -> str:
+        """Return the cache store's address if it lacks a part to prefill.
 
         The prompt's last part is not shared and does not count.
         """
-        keeper = self.keeper
-        if keeper is None:
+        cache_store = self.cache_store
+        if cache_store is None:
             return ""
         to_prefill = prompt.parts[source.parts : -1]
-        if all(keeper.held.holds(salt, part) for part in to_prefill):
+        if all(cache_store.held.holds(salt, part) for part in to_prefill):
             return ""
-        return keeper.address
+        return cache_store.address
 
     def held_tokens(self, name: str, salt: str, prompt: Prompt) -> int:
         """Return how many tokens of a prompt's prefix a target holds."""
@@ -221,13 +223,13 @@
             count = covered_parts(salt, parts, [own, held])
             if count > best.parts:
                 best = Source(address=other.target.address, parts=count)
-        if self.keeper is not None:
-            count = covered_parts(salt, parts, [own, self.keeper.held])
+        if self.cache_store is not None:
+            count = covered_parts(salt, parts, [own, self.cache_store.held])
             if count > best.parts:
                 best = Source(
-                    address=self.keeper.address,
+                    address=self.cache_store.address,
                     parts=count,
-                    fetch_cost=KEEPER_FETCH_COST,
+                    fetch_cost=CACHE_STORE_FETCH_COST,
                 )
         if best.address:
             fetched = parts[has : best.parts]
@@ -285,7 +287,7 @@
         return None
 
     def cost(view: TargetView) -> tuple[float, bool, str]:
-        failing = members.of(view.target.name).failure_share
+        failing = members.health_of(view.target.name).failure_share
         load = view.open_requests / max(1, view.target.slots)
         return (
             round(load + FAILING_COST * failing, 2),
--- a/tests/forward_rig.py
+++ b/tests/forward_rig.py
@@ -17,7 +17,7 @@
 from sequoiawind.forward_ports import (
     AnswerHead,
     AttemptSink,
-    CacheNews,
+    CacheChanges,
     MoveOrder,
     SendOrder,
 )
@@ -108,7 +108,7 @@
         self.move_answers.append(Deferred())
         return await self.move_answers[-1]
 
-    def drop_move(self, moved_from: str) -> None:
+    def release_moved_run(self, moved_from: str) -> None:
         """Record the memory of a moved run that will not be continued."""
         self.dropped.append(moved_from)
 
@@ -117,9 +117,9 @@
         self.sent.append(Sent(order=order, sink=sink))
         return self.sent[-1].call
 
-    async def cache_news(
+    async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
-    ) -> Result[CacheNews, Failure]:
+    ) -> Result[CacheChanges, Failure]:
         """Refuse every watcher as one too many."""
         return Error(not_run(Reason.TARGET_BUSY))
 
@@ -152,8 +152,8 @@
         self.body += body
         self.is_ended = True
 
-    def break_off(self) -> None:
-        """Record that the answer was broken off."""
+    def abort_answer(self) -> None:
+        """Record that the answer was aborted."""
         self.is_broken = True
 
     def refuse(self, failure: Failure) -> None:
--- a/tests/session.py
+++ b/tests/session.py
@@ -40,7 +40,7 @@
     tokens: int = 0
     chunks: list[bytes] = attrs.field(factory=list)
     end: Ended | None = None
-    handling: object = None
+    active_request: object = None
 
     def chunk(self, data: bytes) -> None:
         """Store a chunk of the answer."""
@@ -198,7 +198,7 @@
         if result.is_error():
             caller.ended(Ended(failure=result.error))
         else:
-            caller.handling = result.ok
+            caller.active_request = result.ok
 
     def do_run(self, seconds: str) -> None:
         """Advance the clock."""
@@ -234,7 +234,7 @@
 
     def do_leave(self, name: str) -> None:
         """Cancel a caller's request, as if the caller had disconnected."""
-        self.callers[name].handling.cancel()
+        self.callers[name].active_request.cancel()
 
     def do_executions(self, key: str) -> None:
         """Add to the transcript how often a key's action ran."""
@@ -271,7 +271,7 @@
             board=router.board,
             follower=router.follower,
             claimant=router.router.claimant,
-            clock=router.router.around.clock,
+            clock=router.router.exchange_context.clock,
             ask=self.ask,
             routers=[
                 other.node.name
--- a/tests/test_cache_watcher.py
+++ b/tests/test_cache_watcher.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import Clock
 
 from sequoiawind.cache_watcher import CacheWatcher
-from sequoiawind.forward_ports import CacheNews, PartChange
+from sequoiawind.forward_ports import CacheChanges, PartChange
 from sequoiawind.prompt_cache import HeldParts, PromptPart
 from sequoiawind.verdict import Failure, Reason, may_have_run, not_run
 
@@ -20,11 +20,11 @@
 class FakeCache:
     """Returns the answers that a test has prepared, then that it is busy."""
 
-    answers: list[Result[CacheNews, Failure]]
+    answers: list[Result[CacheChanges, Failure]]
 
-    async def cache_news(
+    async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
-    ) -> Result[CacheNews, Failure]:
+    ) -> Result[CacheChanges, Failure]:
         if self.answers:
             return self.answers.pop(0)
         return Error(not_run(Reason.TARGET_BUSY))
@@ -32,10 +32,10 @@
 
 def changes_answer(
     *changes: tuple[str, int], epoch: int = 1, gap: bool = False
-) -> Result[CacheNews, Failure]:
+) -> Result[CacheChanges, Failure]:
     """Return an answer that reports changes of parts."""
     return Ok(
-        CacheNews(
+        CacheChanges(
             epoch=epoch,
             next_number=9,
             has_gap=gap,
@@ -76,7 +76,7 @@
 class WatcherTest(TestCase):
     """Restarts, gaps and failures clear what is known of a cache."""
 
-    def held_after(self, *answers: Result[CacheNews, Failure]) -> int:
+    def held_after(self, *answers: Result[CacheChanges, Failure]) -> int:
         clock = Clock()
         watcher = CacheWatcher(
             port=FakeCache(answers=list(answers)),
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -141,30 +141,30 @@
         self.assertEqual("abcd", self.names())
 
     def test_draining_agent_gets_no_new_work(self) -> None:
-        self.members.report(LoadReport(target="a", draining=True), 0.0)
+        self.members.update_load(LoadReport(target="a", draining=True), 0.0)
         self.assertEqual("bcd", self.names(1.0))
         self.assertEqual("abcd", self.names(60.0))
 
     def test_failing_target_is_ejected_and_tried_again(self) -> None:
         for _ in range(3):
-            self.members.failed("a", 0.0)
+            self.members.record_failure("a", 0.0)
         self.assertEqual("bcd", self.names(0.5))
         self.assertEqual("abcd", self.names(1.5))
-        self.members.failed("a", 1.5)
+        self.members.record_failure("a", 1.5)
         self.assertEqual("bcd", self.names(3.0))
-        self.members.succeeded("a")
+        self.members.record_success("a")
         self.assertEqual("abcd", self.names(3.0))
 
     def test_at_most_half_is_ejected(self) -> None:
         for name in "abcd":
             for _ in range(3):
-                self.members.failed(name, 0.0)
+                self.members.record_failure(name, 0.0)
         self.assertEqual(2, len(self.names(0.5)))
 
     def test_target_states(self) -> None:
-        self.members.report(LoadReport(target="a", running=2), 0.0)
+        self.members.update_load(LoadReport(target="a", running=2), 0.0)
         for _ in range(3):
-            self.members.failed("b", 0.0)
+            self.members.record_failure("b", 0.0)
         self.members.vms = {"vm-c": VmState.LEAVING}
         states = [
             self.members.state_of(target, 0.5)
@@ -203,11 +203,11 @@
                     routers[number].release("a")
                     admitted += now_s >= 20.0
             if step % 100 == 0:
-                demands = [router.exchange() for router in routers]
+                demands = [router.end_period() for router in routers]
                 for receiver, router in enumerate(routers):
                     for other, demand in enumerate(demands):
                         if other != receiver:
-                            router.hear(str(other), demand, now_s)
+                            router.record_peer_demand(str(other), demand, now_s)
             if now_s == kill_s:
                 routers[0] = AccountLimits(routers=count)
         return admitted / (40.0 * 50.0)
@@ -231,12 +231,12 @@
         for number in range(1400):
             account = Account(name=f"a{number}", rate_per_s=1.0)
             limits.admit(account, 0.0)
-        self.assertEqual(20, len(limits.exchange()))
+        self.assertEqual(20, len(limits.end_period()))
 
     def test_low_demand_is_not_reported(self) -> None:
         limits = AccountLimits(routers=12)
         limits.admit(Account(name="a", rate_per_s=1000.0), 0.0)
-        self.assertEqual({}, limits.exchange())
+        self.assertEqual({}, limits.end_period())
 
     def test_concurrency(self) -> None:
         limits = AccountLimits()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -33,7 +33,7 @@
     def test_new_incarnation_resets_the_health(self) -> None:
         fleet = Fleet()
         fleet.put(target("t1", born_ms=1))
-        fleet.failed("t1", 0.0, is_certain=True)
+        fleet.record_failure("t1", 0.0, is_certain=True)
         fleet.shed("t1", 0.0)
         self.assertTrue(fleet.put(target("t1", born_ms=2)))
         self.assertEqual(1, len(fleet.ready("app", 0.0)))
@@ -103,14 +103,14 @@
         ):
             fleet = Fleet()
             fleet.put(target("e1", "llm"))
-            fleet.heard("e1", status, received_s)
+            fleet.record_status("e1", status, received_s)
             ready = fleet.ready("llm", 10.0)
             self.assertEqual(expected, len(ready), (status, received_s))
 
     def test_winding_down_takes_short_work(self) -> None:
         fleet = Fleet()
         fleet.put(target("e1", "llm"))
-        fleet.heard("e1", TargetStatus(is_winding_down=True), 9.5)
+        fleet.record_status("e1", TargetStatus(is_winding_down=True), 9.5)
         for other, is_long, expected in (
             # There is no other target for long work.
             (None, True, ["e1"]),
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -113,7 +113,7 @@
         connection.dataReceived(GET)
         connection.send_head(200, [])
         connection.send_data(b"part")
-        connection.break_off()
+        connection.abort_answer()
         self.assertIn(b"chunked", transport.value().lower())
         self.assertNotIn(b"0\r\n\r\n", transport.value())
         self.assertTrue(transport.disconnecting)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -104,7 +104,7 @@
         self.assertEqual(
             ["t", "t"], [item.name for item in state.accounts.values()]
         )
-        self.assertEqual("ip:1", state.pools["s3"].keeper)
+        self.assertEqual("ip:1", state.pools["s3"].cache_store)
         self.assertEqual(("m",), state.pools["s1"].models)
 
     def test_not_a_configuration(self) -> None:
@@ -364,7 +364,7 @@
         order = MoveOrder(
             request_id="q1",
             source=target("e1", "llm", address="10.0.0.1:80"),
-            goal=target("e2", "llm", address="10.0.0.2:80"),
+            destination=target("e2", "llm", address="10.0.0.2:80"),
         )
         results: list[Any] = []
         pending = client.move(order, 1.0)
@@ -399,9 +399,9 @@
 
     def test_drop_of_a_moved_run(self) -> None:
         reactor = MemoryReactorClock()
-        engine.EngineClient(client=Http1Client(reactor=reactor)).drop_move(
-            "10.0.0.1:80/h7"
-        )
+        engine.EngineClient(
+            client=Http1Client(reactor=reactor)
+        ).release_moved_run("10.0.0.1:80/h7")
         sent = accept(reactor).sent()
         self.assertTrue(sent.startswith(b"DELETE /api/kv-handle/h7 HTTP/1.1"))
 
--- a/tests/test_stream_move.py
+++ b/tests/test_stream_move.py
@@ -50,7 +50,7 @@
     def load(self, name: str, **fields: Any) -> None:
         """Let a target's agent report that the target will load."""
         now_s = self.rig.clock.seconds()
-        self.rig.fleet.heard(name, LOADING, now_s)
+        self.rig.fleet.record_status(name, LOADING, now_s)
         self.rig.forwarder.status_changed(name)
 
     def answer(self, moved_from: str = "ip:1/h") -> None:
--- a/tests/test_target_choice.py
+++ b/tests/test_target_choice.py
@@ -5,7 +5,7 @@
 from sequoiawind.fleet import TargetView
 from sequoiawind.members import Members
 from sequoiawind.prompt_cache import HeldParts, Prompt, PromptPart, cache_salt
-from sequoiawind.target_choice import Keeper, PromptChooser, choose_call
+from sequoiawind.target_choice import CacheStore, PromptChooser, choose_call
 from sequoiawind.wire import TargetStatus
 from tests.forward_rig import target
 
@@ -122,8 +122,8 @@
         assert chosen is not None
         self.assertEqual("e1:80", chosen.source)
 
-    def test_keeper_completes_what_the_target_holds(self) -> None:
-        # The keeper has evicted the first part, which the target holds itself.
+    def test_cache_store_completes_what_the_target_holds(self) -> None:
+        # The cache store has evicted the first part, which the target holds.
         salt = cache_salt("a", "m", 1, False)
         own = HeldParts(capacity_tokens=10_000)
         own.sent(salt, PROMPT.parts[:1])
@@ -132,39 +132,41 @@
         views = self.views(1)
         chooser = PromptChooser(
             held={"e0": own},
-            keeper=Keeper(address="keeper:1", held=kept),
+            cache_store=CacheStore(address="cache-store:1", held=kept),
             pool=views,
             now_s=0.0,
         )
         chosen = chooser.choose(views, PROMPT, "a", False, 0)
         assert chosen is not None
-        self.assertEqual("keeper:1", chosen.source)
-        # Fetched parts need not be stored at the keeper again.
-        self.assertEqual("", chosen.keeper)
+        self.assertEqual("cache-store:1", chosen.source)
+        # Fetched parts need not be stored at the cache store again.
+        self.assertEqual("", chosen.cache_store)
 
-    def test_keeper_gets_the_shared_parts_that_are_prefilled(self) -> None:
+    def test_cache_store_gets_the_shared_parts_that_are_prefilled(self) -> None:
         salt = cache_salt("a", "m", 1, False)
         views = self.views(1)
         for held, kept, expected in (
-            (0, 0, "keeper:1"),
-            (1, 0, "keeper:1"),
+            (0, 0, "cache-store:1"),
+            (1, 0, "cache-store:1"),
             (2, 0, ""),
-            (0, 1, "keeper:1"),
+            (0, 1, "cache-store:1"),
             (0, 2, ""),
         ):
             own = HeldParts(capacity_tokens=10_000)
             own.sent(salt, PROMPT.parts[:held])
-            keeper = HeldParts(capacity_tokens=10_000)
-            keeper.sent(salt, PROMPT.parts[:kept])
+            cache_store = HeldParts(capacity_tokens=10_000)
+            cache_store.sent(salt, PROMPT.parts[:kept])
             chooser = PromptChooser(
                 held={"e0": own},
-                keeper=Keeper(address="keeper:1", held=keeper),
+                cache_store=CacheStore(
+                    address="cache-store:1", held=cache_store
+                ),
                 pool=views,
                 now_s=0.0,
             )
             chosen = chooser.choose(views, PROMPT, "a", False, 0)
             assert chosen is not None
-            self.assertEqual(expected, chosen.keeper, (held, kept))
+            self.assertEqual(expected, chosen.cache_store, (held, kept))
 
     def test_salts_differ(self) -> None:
         salts = {
@@ -182,7 +184,7 @@
         members = Members()
         views = [TargetView(target=target(name)) for name in ("t1", "t2")]
         for _ in range(5):
-            members.of("t1").note_outcome(True)
+            members.health_of("t1").note_outcome(True)
         chosen = choose_call(views, members, "")
         assert chosen is not None
         self.assertEqual("t2", chosen.view.target.name)
