--- a/sequoiawind/admin.py
+++ b/sequoiawind/admin.py
@@ -52,7 +52,7 @@
     claimant: Claimant
     clock: Clock
     # Requests the report of the daemon at an address.
-    ask: AskPeer
+    request_report: AskPeer
     # Addresses of the other routers.
     routers: Sequence[str] = ()
 
@@ -168,7 +168,7 @@
         """Request the reports of all daemons."""
         addresses = [*self.routers, *self.agent_addresses()]
         answers = await gatherResults(
-            [self.ask(address) for address in addresses]
+            [self.request_report(address) for address in addresses]
         )
         received = [self.own_report()]
         missing: list[str] = []
--- a/sequoiawind/agent.py
+++ b/sequoiawind/agent.py
@@ -233,7 +233,7 @@
         for number, block in enumerate(prefix.chain(attempt.cache_salt, text)):
             self.placement_blocks[block] = chain[(number + 1) * ratio - 1]
             self.placement_blocks.move_to_end(block)
-        while len(self.placement_blocks) > defaults.MAX_COARSE_BLOCKS:
+        while len(self.placement_blocks) > defaults.MAX_PLACEMENT_BLOCKS:
             self.placement_blocks.popitem(last=False)
 
     def probe(self, probe: Probe) -> ProbeAnswer:
--- a/sequoiawind/agent_http.py
+++ b/sequoiawind/agent_http.py
@@ -96,7 +96,7 @@
             )
         request.setHeader("Content-Type", sse.CONTENT_TYPE)
         sink = ResponseSink(request=request)
-        done = http_server.ended(request)
+        done = http_server.when_finished(request)
         call = self.agent.open("", attempt, sink)
         done.addCallback(lambda _: sink.connection_lost(call))
         return done
--- a/sequoiawind/agent_program.py
+++ b/sequoiawind/agent_program.py
@@ -36,7 +36,7 @@
 from sequoiawind.load_slots import LoadSlots
 from sequoiawind.metrics import AgentMetrics
 from sequoiawind.options import AgentSettings
-from sequoiawind.peers import ConfigSeeker, PeerClient
+from sequoiawind.peers import ConfigFetcher, PeerClient
 
 Logger = structlog.typing.FilteringBoundLogger
 
@@ -111,14 +111,14 @@
             retention_s=self.options.platform.log_retention_s,
             on_change=self.follow_config,
         )
-        seeker = ConfigSeeker(
+        fetcher = ConfigFetcher(
             peers=PeerClient(json=self.json),
             board=self.board,
             clock=event_loop.reactor,
             addresses=self.options.peers.routers,
             on_found=self.follow_config,
         )
-        controllers = [follower.run(), seeker.run()]
+        controllers = [follower.run(), fetcher.run()]
         if self.options.agent.service == "engine":
             controllers.append(self.make_watcher().run())
         for controller in controllers:
--- a/sequoiawind/blackboard.py
+++ b/sequoiawind/blackboard.py
@@ -102,7 +102,7 @@
     def note_request(self, note: RequestNote) -> None:
         """Add a request, and evict the oldest above the limit."""
         self.requests[note.request_id] = note
-        while len(self.requests) > defaults.EXPLAIN_KEEP:
+        while len(self.requests) > defaults.MAX_EXPLAINED_REQUESTS:
             self.requests.popitem(last=False)
 
     def snapshot(self) -> str:
--- a/sequoiawind/cache_watcher.py
+++ b/sequoiawind/cache_watcher.py
@@ -108,7 +108,7 @@
         """Record that a cache answers."""
         if not cache.is_alive:
             cache.is_alive = True
-            self.log.info("cache answers", cache=name, epoch=cache.epoch)
+            self.log.info("cache reachable", cache=name, epoch=cache.epoch)
 
     def mark_failed(
         self, name: str, cache: WatchedCache, failure: Failure
@@ -120,7 +120,5 @@
         if cache.is_alive:
             cache.is_alive = False
             cache.held.clear()
-            self.log.warning(
-                "cache does not answer", cache=name, detail=failure.detail
-            )
+            self.log.warning("cache lost", cache=name, detail=failure.detail)
         return RETRY_S
--- a/sequoiawind/claimant.py
+++ b/sequoiawind/claimant.py
@@ -252,9 +252,9 @@
     if entry.outcome is not None and entry.outcome.known:
         return Ok(entry.outcome.reply)
     if entry.settled is not None and not entry.settled.ran:
-        return Error(not_run(Reason.SETTLED, messages.SETTLED))
+        return Error(not_run(Reason.SETTLED, messages.SETTLED_AS_NOT_RUN))
     if entry.settled is not None:
-        return Error(may_have_run(Reason.SETTLED, messages.KEEPS_RAN))
+        return Error(may_have_run(Reason.SETTLED, messages.SETTLED_AS_RUN))
     return Error(
         may_have_run(
             Reason.CLAIM_OPEN,
--- a/sequoiawind/config_follower.py
+++ b/sequoiawind/config_follower.py
@@ -138,7 +138,7 @@
         if self.board.folded.next_offset == 0 or not self.is_snapshot_due():
             return
         # All daemons find the snapshot due; a random choice spreads the work.
-        if self.random.random() > defaults.SNAPSHOT_CHANCE:
+        if self.random.random() > defaults.SNAPSHOT_PROBABILITY:
             return
         await self.load_snapshot()
         if not self.is_snapshot_due():
@@ -175,7 +175,9 @@
         appended = await self.log.append(defaults.CONFIG_STREAM, [record])
         if appended.is_error() and appended.error.verdict.value == "not_run":
             return Error(
-                not_run(Reason.LOG_UNAVAILABLE, messages.LOG_NOT_TAKEN, 1.0)
+                not_run(
+                    Reason.LOG_UNAVAILABLE, messages.COMMAND_NOT_ACCEPTED, 1.0
+                )
             )
         for _ in range(defaults.CLAIM_READ_ATTEMPTS):
             if (await self.catch_up()).is_ok():
@@ -184,5 +186,7 @@
                     return Ok(decision)
             await timing.sleep(self.clock, defaults.CLAIM_READ_PAUSE_S)
         return Error(
-            may_have_run(Reason.LOG_UNAVAILABLE, messages.LOG_UNKNOWN, 1.0)
+            may_have_run(
+                Reason.LOG_UNAVAILABLE, messages.COMMAND_OUTCOME_UNKNOWN, 1.0
+            )
         )
--- a/sequoiawind/ctl_main.py
+++ b/sequoiawind/ctl_main.py
@@ -125,7 +125,7 @@
         message = body.get("message") or body.get("error", {}).get("message")
         command_line.fail(str(message))
     answer = wire.from_builtins(body, Answer)
-    print(json.dumps(body) if args.json else query.as_table(answer))
+    print(json.dumps(body) if args.json else query.format_answer(answer))
     if not answer.is_accepted:
         sys.exit(1)
     if args.wait > 0.0 and answer.message.startswith("accepted"):
--- a/sequoiawind/defaults.py
+++ b/sequoiawind/defaults.py
@@ -38,10 +38,10 @@
 MAX_EJECTED_SHARE: Final = 0.5
 # Weight of one attempt in the moving average of a target's failures.
 FAILURE_SHARE_WEIGHT: Final = 0.15
-LIST_DISTRUST_SHARE: Final = 0.5
+MAX_LEAVING_SHARE: Final = 0.5
 
 # Placement.
-WALK_LENGTH: Final = 2
+MAX_UNPROBED_CHOICES: Final = 2
 PREFIX_COUNTERS: Final = 20_000
 SHARING_WINDOW_S: Final = 30.0
 SPLIT_SHARE: Final = 0.5
@@ -53,7 +53,7 @@
 PROBE_TIMEOUT_S: Final = 0.05
 # Prompt tokens that a home (the first target in rendezvous order) may have to
 # compute without other targets being probed.
-FAIR_MISSING_TOKENS: Final = 512
+MAX_HOME_MISSING_TOKENS: Final = 512
 # Excess over the expected cost above which a home refuses a request.
 COST_SLACK_S: Final = 0.1
 # Costs are compared in steps of this width; within a step they are equal.
@@ -66,7 +66,7 @@
 PREFILL_TOKENS_PER_S: Final = 10_000.0
 PATIENCE: Final = 4.0
 EVENTS_POLL_S: Final = 0.1
-MAX_COARSE_BLOCKS: Final = 20_000
+MAX_PLACEMENT_BLOCKS: Final = 20_000
 # How long after its expected wait a prompt's blocks are still expected in the
 # engine's cache.
 EXPECTED_BLOCK_S: Final = 3.0
@@ -89,7 +89,7 @@
 LOG_RETENTION_S: Final = 86_400.0
 SNAPSHOT_SHARE_OF_RETENTION: Final = 0.4
 # Probability, at each poll, that a daemon writes a snapshot that is due.
-SNAPSHOT_CHANCE: Final = 0.1
+SNAPSHOT_PROBABILITY: Final = 0.1
 # An offset that no stream reaches; a read from it returns no records, only the
 # stream's first and end offsets.
 BEYOND_END: Final = 2**62
@@ -115,8 +115,8 @@
 VM_LIST_BUDGET_B_PER_S: Final = 700.0
 PEER_TIMEOUT_S: Final = 1.0
 LIMIT_SHARE_PERIOD_S: Final = 1.0
-TOLD_DEMAND_SHARE: Final = 0.1
-MAX_TOLD_ACCOUNTS: Final = 20
+MIN_REPORTED_DEMAND_SHARE: Final = 0.1
+MAX_REPORTED_ACCOUNTS: Final = 20
 # Size of a demand message with the HTTP heads of request and answer, and the
 # rate at which a router may send such messages.
 DEMAND_MESSAGE_B: Final = 730
@@ -126,4 +126,4 @@
 BALANCER_WAIT_S: Final = 1.0
 
 # Recent requests that `explain request` can look up.
-EXPLAIN_KEEP: Final = 2_000
+MAX_EXPLAINED_REQUESTS: Final = 2_000
--- a/sequoiawind/forward_agent.py
+++ b/sequoiawind/forward_agent.py
@@ -284,7 +284,7 @@
         )
         await self.watch_load(model, version)
         self.log.info(
-            "load watch ended",
+            "weights load ended",
             target=target.name,
             versions=dict(self.status.versions),
             is_loading=self.status.is_loading,
--- a/sequoiawind/forward_plan.py
+++ b/sequoiawind/forward_plan.py
@@ -151,7 +151,7 @@
             return Ok(ANONYMOUS)
         if not isinstance(known, ForwardAccount):
             return Error(
-                self.denial(Reason.UNAUTHENTICATED, messages.UNKNOWN_KEY)
+                self.denial(Reason.UNAUTHENTICATED, messages.UNKNOWN_API_KEY)
             )
         if not self.trusts_keys:
             return Error(stale_configuration())
--- a/sequoiawind/forward_program.py
+++ b/sequoiawind/forward_program.py
@@ -57,7 +57,7 @@
         topic: str,
         reader: RecordReader,
         wait_s: float,
-        pace_s: float,
+        read_pause_s: float,
         age_clock: Callable[[], float] = suspended_clock_s,
     ) -> None:
         """Keep a reader up to date with a topic of the store.
@@ -66,7 +66,7 @@
           topic: The topic.
           reader: Processes its records.
           wait_s: How long the store may wait for a change before it answers.
-          pace_s: Pause after a change, so that one answer carries several.
+          read_pause_s: Pause after a change, so that an answer carries several.
           age_clock: Returns the time by which the records' age is measured.
         """
         follower = RecordFollower(
@@ -76,7 +76,7 @@
             clock=event_loop.reactor,
             random=self.random,
             wait_s=wait_s,
-            pace_s=pace_s,
+            read_pause_s=read_pause_s,
             age_clock=age_clock,
             log=self.log,
         )
--- a/sequoiawind/forward_readers.py
+++ b/sequoiawind/forward_readers.py
@@ -90,31 +90,31 @@
     def apply_weights(self, model: str, version: int, is_late: bool) -> None:
         """Report the weights version that an operator names for a model."""
         self.log.info(
-            "weights version named",
+            "weights named",
             model=model,
             version=version,
             is_late=is_late,
         )
         self.on_weights(model, version, is_late)
 
-    def confirmed(self, asked_s: float) -> None:
+    def confirmed(self, request_time_s: float) -> None:
         """Record the time as of which the configuration is current."""
         if self.freshness is not None:
-            self.freshness.confirmed(asked_s)
+            self.freshness.confirmed(request_time_s)
 
     def store_lost(self, detail: str) -> None:
-        """Log that the store does not answer."""
+        """Log that the store is lost."""
         age_s = self.freshness.age_s if self.freshness else -1.0
         self.log.warning(
-            "store does not answer",
+            "store lost",
             topic="operator",
             detail=detail,
             config_age_s=round(age_s, 3),
         )
 
     def store_back(self) -> None:
-        """Log that the store answers again."""
-        self.log.info("store answers again", topic="operator")
+        """Log that the store is regained."""
+        self.log.info("store regained", topic="operator")
 
 
 @attrs.define(kw_only=True)
@@ -188,18 +188,16 @@
         )
         self.on_change()
 
-    def confirmed(self, asked_s: float) -> None:
+    def confirmed(self, request_time_s: float) -> None:
         """Drop targets that have been missing for long enough."""
         self.fleet.drop_missing(self.clock.seconds())
 
     def store_lost(self, detail: str) -> None:
         """Keep the known targets while the store does not answer."""
         self.fleet.store_lost()
-        self.log.warning(
-            "store does not answer", topic="targets", detail=detail
-        )
+        self.log.warning("store lost", topic="targets", detail=detail)
 
     def store_back(self) -> None:
         """Give missing targets time to register again."""
         self.fleet.store_back(self.clock.seconds())
-        self.log.info("store answers again", topic="targets")
+        self.log.info("store regained", topic="targets")
--- a/sequoiawind/forward_router_program.py
+++ b/sequoiawind/forward_router_program.py
@@ -97,7 +97,7 @@
         """Return the HTTP client for targets and the store."""
         return Http1Client(
             reactor=event_loop.reactor,
-            on_foreign=self.metrics.foreign_answers.inc,
+            on_foreign_answer=self.metrics.foreign_answers.inc,
             on_connect=self.metrics.connects.inc,
         )
 
@@ -172,7 +172,7 @@
         decoded = callers.decode_request(request)
         forwarding = self.forwarder.submit(decoded, caller)
         if forwarding is not None and not forwarding.is_finished:
-            connection.on_gone = forwarding.caller_gone
+            connection.on_disconnect = forwarding.caller_gone
 
     def answer_ready(
         self, request: HttpRequest, connection: CallerConnection
@@ -243,7 +243,7 @@
             on_change=self.targets_changed,
             on_incarnation=self.forwarder.incarnation_began,
         )
-        for topic, reader, wait_s, pace_s in (
+        for topic, reader, wait_s, read_pause_s in (
             (
                 names.OPERATOR_TOPIC,
                 operator,
@@ -258,7 +258,7 @@
             ),
         ):
             self.follow_records(
-                topic, reader, wait_s, pace_s, self.freshness.now
+                topic, reader, wait_s, read_pause_s, self.freshness.now
             )
 
     def targets_changed(self) -> None:
--- a/sequoiawind/forwarding.py
+++ b/sequoiawind/forwarding.py
@@ -171,7 +171,7 @@
         if len(self.sent_to) >= max(1, kind.max_targets):
             self.give_up(
                 self.last_failure
-                or not_run(Reason.MAX_TARGETS, messages.MAX_SENDS)
+                or not_run(Reason.MAX_TARGETS, messages.MAX_TARGETS)
             )
             return
         chosen = self.forwarder.choose(self)
--- a/sequoiawind/freshness.py
+++ b/sequoiawind/freshness.py
@@ -33,10 +33,13 @@
     now: Callable[[], float] = suspended_clock_s
     current_as_of_s: float | None = None
 
-    def confirmed(self, asked_s: float) -> None:
-        """Record that the store answered a request sent at `asked_s`."""
-        if self.current_as_of_s is None or asked_s > self.current_as_of_s:
-            self.current_as_of_s = asked_s
+    def confirmed(self, request_time_s: float) -> None:
+        """Record that a request sent at `request_time_s` was answered."""
+        if (
+            self.current_as_of_s is None
+            or request_time_s > self.current_as_of_s
+        ):
+            self.current_as_of_s = request_time_s
 
     @property
     def age_s(self) -> float:
--- a/sequoiawind/http1_client.py
+++ b/sequoiawind/http1_client.py
@@ -197,7 +197,7 @@
     def skip_answer(self) -> None:
         """Drop another request's answer and wait for the one to ours."""
         extra, _ = self.http.trailing_data
-        self.client.on_foreign()
+        self.client.on_foreign_answer()
         self.is_skipping = False
         if self.http.their_state is not h11.DONE or self.request is None:
             self.fail(Reason.TARGET_ERROR, messages.FOREIGN_ANSWER)
@@ -257,7 +257,7 @@
         factory=lambda: defaultdict(list)
     )
     # Called for each answer that belonged to another request.
-    on_foreign: Callable[[], None] = attrs.field(default=lambda: None)
+    on_foreign_answer: Callable[[], None] = attrs.field(default=lambda: None)
     on_connect: Callable[[], None] = attrs.field(default=lambda: None)
 
     def call(
--- a/sequoiawind/http1_server.py
+++ b/sequoiawind/http1_server.py
@@ -63,7 +63,7 @@
         self.is_answering = False
         self.is_lost = False
         # Called once if the caller disconnects before its answer is complete.
-        self.on_gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
     def new_parser(self) -> h11.Connection:
         """Return a parser with the limits in force."""
@@ -85,11 +85,11 @@
         self.is_lost = True
         self.stop_timer()
         self.site.connections.discard(self)
-        on_gone, self.on_gone = self.on_gone, None
+        on_disconnect, self.on_disconnect = self.on_disconnect, None
         if self.is_answering:
             self.is_answering = False
-            if on_gone is not None:
-                on_gone()
+            if on_disconnect is not None:
+                on_disconnect()
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Handle bytes from the caller."""
@@ -207,7 +207,7 @@
             return
         self.write(self.http.send(h11.EndOfMessage()))
         self.is_answering = False
-        self.on_gone = None
+        self.on_disconnect = None
         if self.site.is_closing or self.http.our_state is not h11.DONE:
             self.transport.loseConnection()
             return
@@ -223,7 +223,7 @@
     def abort_answer(self) -> None:
         """Abort the answer so that the caller sees it is incomplete."""
         self.is_answering = False
-        self.on_gone = None
+        self.on_disconnect = None
         if not self.is_lost:
             self.transport.loseConnection()
 
--- a/sequoiawind/http_ports.py
+++ b/sequoiawind/http_ports.py
@@ -18,8 +18,8 @@
 from sequoiawind.event_loop import reactor
 from sequoiawind.http_client import NOT_SENT, EventCall, JsonClient
 from sequoiawind.http_server import (
+    IDEMPOTENCY_KEY_HEADER,
     JSON_TYPE,
-    KEY_HEADER,
     REQUEST_ID_HEADER,
     SECRET_HEADER,
 )
@@ -292,7 +292,7 @@
         ACCOUNT_HEADER: attempt.account,
     }
     if attempt.idempotency_key:
-        headers[KEY_HEADER] = attempt.idempotency_key
+        headers[IDEMPOTENCY_KEY_HEADER] = attempt.idempotency_key
     return Headers({name: [value] for name, value in headers.items()})
 
 
--- a/sequoiawind/http_server.py
+++ b/sequoiawind/http_server.py
@@ -23,7 +23,7 @@
 VERDICT_HEADER: Final = "X-Sequoiawind-Verdict"
 ATTEMPTS_HEADER: Final = "X-Sequoiawind-Attempts"
 CACHED_TOKENS_HEADER: Final = "X-Sequoiawind-Cached-Tokens"
-KEY_HEADER: Final = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER: Final = "Idempotency-Key"
 JSON_TYPE: Final = "application/json"
 
 
@@ -162,7 +162,7 @@
     return body
 
 
-def ended(request: server.Request) -> Deferred[None]:
+def when_finished(request: server.Request) -> Deferred[None]:
     """Return a Deferred that fires when a request is over.
 
     It fires with None, whether the reply was finished or the peer
--- a/sequoiawind/lab/experiment.py
+++ b/sequoiawind/lab/experiment.py
@@ -153,7 +153,7 @@
             for number in range(self.deployment.accounts)
         ]
         shape = self.deployment
-        made += language.commands_of(
+        made += language.parse_commands(
             f"create kind kind with max_first_s = {shape.max_first_s}\n"
             f"create policy policy with patience = {self.patience}, "
             f"max_holders = {self.max_holders}\n"
@@ -162,7 +162,7 @@
             "pool = pool, kind = kind, policy = policy\n"
         )
         for number in range(shape.engines):
-            made += language.commands_of(
+            made += language.parse_commands(
                 f"create target e{number} with pool = pool, agent = e{number}"
             )
         return made
--- a/sequoiawind/lab/policies.py
+++ b/sequoiawind/lab/policies.py
@@ -54,7 +54,7 @@
             for item in self.order(plan, candidates)
         ]
         done: Deferred[Placed] = Deferred()
-        done.callback(Placed(choices=choices[: defaults.WALK_LENGTH]))
+        done.callback(Placed(choices=choices[: defaults.MAX_UNPROBED_CHOICES]))
         return done
 
     def loads(self, candidates: list[Candidate]) -> dict[str, float]:
--- a/sequoiawind/lab/soak.py
+++ b/sequoiawind/lab/soak.py
@@ -410,7 +410,7 @@
 def first_commands() -> list[Command]:
     """Return the configuration of the run; tokens are account names."""
     made: list[Command] = [account_command(name, name) for name in ACCOUNTS]
-    made += language.commands_of(CONFIGURATION)
+    made += language.parse_commands(CONFIGURATION)
     return made
 
 
--- a/sequoiawind/lab/standin_http.py
+++ b/sequoiawind/lab/standin_http.py
@@ -100,7 +100,7 @@
         body = json_object(http_server.body_of(request)) or {}
         attempt = attempt_of(request, body)
         sink = EngineSink(request=request)
-        done = http_server.ended(request)
+        done = http_server.when_finished(request)
         call = self.engine.open("", attempt, sink)
         done.addCallback(lambda _: sink.gone(call))
         return done
@@ -227,7 +227,7 @@
     def call(self, request: server.Request) -> Deferred[None]:
         """Execute a call."""
         sink = PlainSink(request=request)
-        done = http_server.ended(request)
+        done = http_server.when_finished(request)
         attempt = Attempt(
             attempt_id="",
             request_id=http_server.header(
@@ -237,7 +237,9 @@
             kind="",
             target=self.model.name,
             path=request.path.decode("utf-8", "replace"),
-            idempotency_key=http_server.header(request, http_server.KEY_HEADER),
+            idempotency_key=http_server.header(
+                request, http_server.IDEMPOTENCY_KEY_HEADER
+            ),
         )
         self.model.open("", attempt, sink)
         done.addCallback(lambda _: sink.gone())
--- a/sequoiawind/language.py
+++ b/sequoiawind/language.py
@@ -130,7 +130,7 @@
     return Ok(changes)
 
 
-def commands_of(text: str) -> list[commands.Command]:
+def parse_commands(text: str) -> list[commands.Command]:
     """Return the commands of a text that is known to be valid.
 
     Raises:
--- a/sequoiawind/limits.py
+++ b/sequoiawind/limits.py
@@ -149,7 +149,7 @@
             if usage.demand < MIN_TRACKED_DEMAND and not usage.open_requests:
                 del self.usage[name]
         hottest = sorted(reported, key=reported.__getitem__, reverse=True)
-        kept = hottest[: defaults.MAX_TOLD_ACCOUNTS]
+        kept = hottest[: defaults.MAX_REPORTED_ACCOUNTS]
         return {name: reported[name] for name in kept}
 
     def report_threshold(self, usage: AccountUsage) -> float:
@@ -159,7 +159,7 @@
         more than it helps.
         """
         equal = usage.rate_per_s / max(1, self.routers)
-        return equal * defaults.TOLD_DEMAND_SHARE
+        return equal * defaults.MIN_REPORTED_DEMAND_SHARE
 
     def record_peer_demand(
         self, router: str, demand: Mapping[str, float], now_s: float
--- a/sequoiawind/members.py
+++ b/sequoiawind/members.py
@@ -134,7 +134,7 @@
             if self.vms.get(target.vm) is not VmState.LEAVING
         ]
         removed = len(targets) - len(staying)
-        if removed > len(targets) * defaults.LIST_DISTRUST_SHARE:
+        if removed > len(targets) * defaults.MAX_LEAVING_SHARE:
             return targets
         return staying
 
--- a/sequoiawind/peers.py
+++ b/sequoiawind/peers.py
@@ -48,7 +48,7 @@
 
 
 @attrs.define(kw_only=True)
-class ConfigSeeker:
+class ConfigFetcher:
     """Controller that gets a first configuration from any peer."""
 
     peers: PeerClient
@@ -74,7 +74,7 @@
 
 
 @attrs.define(kw_only=True)
-class DemandTeller:
+class DemandSender:
     """Controller that sends the demand by account to the other routers."""
 
     name: str
--- a/sequoiawind/placer.py
+++ b/sequoiawind/placer.py
@@ -84,7 +84,7 @@
         return Placed(
             choices=[
                 Choice(candidate=item, max_first_s=plan.kind.max_first_s)
-                for item in ranked[: defaults.WALK_LENGTH]
+                for item in ranked[: defaults.MAX_UNPROBED_CHOICES]
             ]
         )
 
@@ -123,7 +123,7 @@
         than a usual question has: the prefix may be cached on another target,
         as after a restart of this router.
         """
-        missing = min(plan.prompt_tokens, defaults.FAIR_MISSING_TOKENS)
+        missing = min(plan.prompt_tokens, defaults.MAX_HOME_MISSING_TOKENS)
         compute_s = missing / defaults.PREFILL_TOKENS_PER_S
         return plan.policy.patience * compute_s + defaults.COST_SLACK_S
 
@@ -218,7 +218,7 @@
     """Return choices for targets that are not probed, to try last."""
     return [
         Choice(candidate=item, max_first_s=plan.kind.max_first_s)
-        for item in candidates[: defaults.WALK_LENGTH]
+        for item in candidates[: defaults.MAX_UNPROBED_CHOICES]
     ]
 
 
--- a/sequoiawind/query.py
+++ b/sequoiawind/query.py
@@ -242,7 +242,7 @@
     return (1, 0.0, value)
 
 
-def as_table(answer: Answer) -> str:
+def format_answer(answer: Answer) -> str:
     """Return an answer as text; the last line states what it covers."""
     lines: list[str] = []
     if answer.message:
--- a/sequoiawind/record_follower.py
+++ b/sequoiawind/record_follower.py
@@ -43,11 +43,11 @@
     def changed(self, record: KeyedRecord) -> None:
         """Called with a newly written record."""
 
-    def confirmed(self, asked_s: float) -> None:
+    def confirmed(self, request_time_s: float) -> None:
         """Called when all records written up to a time have been received.
 
         Args:
-          asked_s: The time, in seconds of `RecordFollower.age_clock`.
+          request_time_s: The time, in seconds of `RecordFollower.age_clock`.
         """
 
     def store_lost(self, detail: str) -> None:
@@ -72,7 +72,7 @@
     age_clock: Callable[[], float]
     log: Logger
     # Pause after new records, in seconds, so that one response carries more.
-    pace_s: float = 0.0
+    read_pause_s: float = 0.0
     # Offset of the next read; None if the newest records must be read first.
     offset: int | None = None
     is_store_lost: bool = False
@@ -88,7 +88,7 @@
 
     async def step(self) -> None:
         """Read from the store once, and pause if that failed."""
-        asked_s = self.age_clock()
+        request_time_s = self.age_clock()
         if self.offset is None:
             result = await self.read_newest()
         else:
@@ -106,9 +106,9 @@
             self.reader.store_back()
         self.deliver(result.ok)
         if not result.ok.has_more:
-            self.reader.confirmed(asked_s)
-        if result.ok.records and self.pace_s:
-            await timing.sleep(self.clock, self.pace_s)
+            self.reader.confirmed(request_time_s)
+        if result.ok.records and self.read_pause_s:
+            await timing.sleep(self.clock, self.read_pause_s)
 
     async def read_newest(self) -> Result[KeyedPage, ReadFailure]:
         """Return the newest records of all keys as one page."""
--- a/sequoiawind/router_http.py
+++ b/sequoiawind/router_http.py
@@ -194,7 +194,9 @@
             prompt=openai_format.prompt_of(path, body) or "",
             max_tokens=wanted_tokens(body),
             body=openai_format.encode(kept).decode(),
-            idempotency_key=request.getHeader(http_server.KEY_HEADER),
+            idempotency_key=request.getHeader(
+                http_server.IDEMPOTENCY_KEY_HEADER
+            ),
         )
         return self.submit(request, caller_request, bool(body.get("stream")))
 
@@ -212,7 +214,9 @@
             method=request.method.decode("ascii", "replace"),
             content_type=http_server.header(request, "Content-Type"),
             body=body,
-            idempotency_key=request.getHeader(http_server.KEY_HEADER),
+            idempotency_key=request.getHeader(
+                http_server.IDEMPOTENCY_KEY_HEADER
+            ),
         )
         return self.submit(request, caller_request, is_streamed=False)
 
@@ -229,7 +233,7 @@
             path=caller_request.path,
             is_streamed=is_streamed,
         )
-        done = http_server.ended(request)
+        done = http_server.when_finished(request)
         done.addCallback(lambda _: caller.connection_lost())
         result = self.router.submit(caller_request, caller)
         if result.is_error():
--- a/sequoiawind/router_program.py
+++ b/sequoiawind/router_program.py
@@ -31,8 +31,8 @@
 from sequoiawind.metrics import RouterMetrics
 from sequoiawind.options import RouterSettings
 from sequoiawind.peers import (
-    ConfigSeeker,
-    DemandTeller,
+    ConfigFetcher,
+    DemandSender,
     PeerClient,
     VmListWatcher,
 )
@@ -137,7 +137,7 @@
             follower=self.follower,
             claimant=self.claimant,
             clock=event_loop.reactor,
-            ask=self.peers.report,
+            request_report=self.peers.report,
             routers=[str(peer) for peer in self.options.peers.routers],
         )
         return RouterHttp(
@@ -165,7 +165,7 @@
         Args:
           on_ready: Called once the router has a configuration.
         """
-        seeker = ConfigSeeker(
+        fetcher = ConfigFetcher(
             peers=self.peers,
             board=self.board,
             clock=event_loop.reactor,
@@ -175,14 +175,14 @@
             ],
             on_found=on_ready,
         )
-        publisher = DemandTeller(
+        sender = DemandSender(
             name=self.options.router.name,
             peers=self.peers,
             board=self.board,
             clock=event_loop.reactor,
             addresses=self.options.peers.routers,
         )
-        controllers = [self.follower.run(), seeker.run(), publisher.run()]
+        controllers = [self.follower.run(), fetcher.run(), sender.run()]
         watcher = self.make_watcher()
         if watcher is not None:
             controllers.append(watcher.run())
--- a/sequoiawind/status_watcher.py
+++ b/sequoiawind/status_watcher.py
@@ -124,13 +124,13 @@
         if status is None:
             watched.failures += 1
             if watched.failures == 1:
-                self.log.info("agent does not answer", target=name)
+                self.log.info("agent lost", target=name)
             pause_s = min(RETRY_CAP_S, RETRY_BASE_S * 2.0**watched.failures)
             jittered_s = timing.jittered(pause_s, 0.3, self.random)
             await timing.sleep(self.clock, jittered_s)
             return
         if watched.failures or watched.number < 0:
-            self.log.info("agent answers", target=name)
+            self.log.info("agent reachable", target=name)
         watched.failures = 0
         watched.number = status.number
         if status.target == name:
--- a/tests/live.py
+++ b/tests/live.py
@@ -195,7 +195,7 @@
 
 def base_commands() -> list[Command]:
     """Return the commands that create the configuration, less targets."""
-    return language.commands_of(CONFIGURATION)
+    return language.parse_commands(CONFIGURATION)
 
 
 _shared: list[LiveSystem] = []
--- a/tests/session.py
+++ b/tests/session.py
@@ -49,9 +49,9 @@
     def ended(self, ended: Ended) -> None:
         """Add the result that the caller received to the transcript."""
         self.end = ended
-        self.lines.append(f"{self.name}: {self.told(ended)}")
+        self.lines.append(f"{self.name}: {self.describe_result(ended)}")
 
-    def told(self, ended: Ended) -> str:
+    def describe_result(self, ended: Ended) -> str:
         """Return the result that the caller received, as text."""
         if ended.failure is not None:
             failure = ended.failure
@@ -93,7 +93,7 @@
     return [
         account_command("nordlys", "nordlys"),
         account_command("petra", "petra"),
-        *language.commands_of(CONFIGURATION),
+        *language.parse_commands(CONFIGURATION),
     ]
 
 
@@ -257,7 +257,7 @@
         if result.is_error():
             self.lines.append(f"{result.error.status} {result.error.message}")
             return
-        table = query.as_table(attrs.evolve(result.ok, oldest_s=0.0))
+        table = query.format_answer(attrs.evolve(result.ok, oldest_s=0.0))
         for key, value in self.keys.items():
             table = table.replace(value, f"KEY:{key}")
         self.lines += table.splitlines()
@@ -272,7 +272,7 @@
             follower=router.follower,
             claimant=router.router.claimant,
             clock=router.router.exchange_context.clock,
-            ask=self.ask,
+            request_report=self.request_report,
             routers=[
                 other.node.name
                 for other in self.rig.routers
@@ -280,7 +280,7 @@
             ],
         )
 
-    def ask(
+    def request_report(
         self, address: str
     ) -> Deferred[Result[reports.DaemonReport, Failure]]:
         """Request the report of a daemon."""
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -103,7 +103,7 @@
         for name, caller in session.callers.items():
             if caller.end is None:
                 continue
-            answer = caller.told(caller.end)
+            answer = caller.describe_result(caller.end)
             if " not_run " in answer:
                 self.assertEqual(0, service.by_request[name], (where, answer))
             if answer.endswith(" done"):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -298,8 +298,8 @@
     def changed(self, record: KeyedRecord) -> None:
         self.calls.append(f"changed {record.key}")
 
-    def confirmed(self, asked_s: float) -> None:
-        self.calls.append(f"as of {asked_s:g}")
+    def confirmed(self, request_time_s: float) -> None:
+        self.calls.append(f"as of {request_time_s:g}")
 
     def store_lost(self, detail: str) -> None:
         self.calls.append("lost")
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -122,7 +122,7 @@
         connection, _ = self.connect()
         connection.dataReceived(GET)
         gone: list[bool] = []
-        connection.on_gone = lambda: gone.append(True)
+        connection.on_disconnect = lambda: gone.append(True)
         connection.connectionLost()
         self.assertEqual([True], gone)
         # An answer after the disconnect is discarded.
