--- a/sequoiawind/lab/soak.py
+++ b/sequoiawind/lab/soak.py
@@ -1,8 +1,9 @@
-"""A long random run of real router, agent and fold code under faults.
+"""A long randomized run of the real router, agent and fold code with faults.
 
-Everything runs on one virtual clock and one seed: callers, operators, and
-faults that come together and twice.  The promises are checked inside the
-program (``invariants``) and against the stand-ins at the end.
+Callers, operators and faults run on one virtual clock and from one seed;
+faults may overlap and recur.  The promises are checked inside the program
+(``invariants``) and, at the end of the run, against the executions that the
+stand-ins counted.
 """
 
 import random
@@ -53,7 +54,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class SoakCaller:
-    """One submission of a caller, and what it was told."""
+    """One submission by a caller, and the answer it received."""
 
     soak: "Soak"
     request: CallerRequest
@@ -66,25 +67,27 @@
     tries_left: int = 0
 
     def chunk(self, data: bytes) -> None:
-        """Take a chunk."""
+        """Record a chunk of the answer."""
         invariants.check(
-            self.end is None, "whole-answer", "a chunk came after the end"
+            self.end is None, "whole-answer", "chunk after the end of an answer"
         )
         self.chunks.append(data)
 
     def ended(self, ended: Ended) -> None:
-        """Take the end."""
+        """Record the end of the answer and check it."""
         invariants.check(
-            self.end is None, "one-end", f"{self.request.request_id} twice"
+            self.end is None,
+            "one-end",
+            f"request {self.request.request_id} ended twice",
         )
         self.end = ended
         self.ended_s = self.soak.rig.clock.seconds()
-        self.soak.answered(self)
+        self.soak.caller_ended(self)
 
 
 @attrs.define(kw_only=True)
 class AcceptedCommand:
-    """A command that an operator was told is accepted."""
+    """A command whose acceptance was confirmed to an operator."""
 
     offset: int
     time_s: float
@@ -93,22 +96,23 @@
 
 @attrs.define(kw_only=True)
 class Soak:
-    """One run."""
+    """One soak run with its system, callers, operators and faults."""
 
     seed: int
     rig: Rig = attrs.field(init=False)
-    source: random.Random = attrs.field(init=False)
+    rng: random.Random = attrs.field(init=False)
     callers: list[SoakCaller] = attrs.field(factory=list)
     accepted: list[AcceptedCommand] = attrs.field(factory=list)
-    number: int = 0
-    # Counts of what the run did, for its report.
+    # Number in the id of the last request.
+    request_number: int = 0
+    # Number of events by name, printed in the report of the run.
     counts: dict[str, int] = attrs.field(factory=dict)
     errors: list[str] = attrs.field(factory=list)
     faults: SoakFaults = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Build the system."""
-        self.source = random.Random(f"soak-{self.seed}")
+        """Start the targets, agents and routers."""
+        self.rng = random.Random(f"soak-{self.seed}")
         self.rig = Rig(
             seed=self.seed,
             parameters=EngineParameters(cache_blocks=120, load_time_s=2.0),
@@ -123,12 +127,10 @@
         )
         for number in range(ROUTERS):
             self.rig.add_router(f"r{number}")
-        self.faults = SoakFaults(
-            rig=self.rig, source=self.source, count=self.count
-        )
+        self.faults = SoakFaults(rig=self.rig, rng=self.rng, count=self.count)
 
     def run(self) -> list[str]:
-        """Run, and return the violations found."""
+        """Run, and return the violations and the unhandled errors."""
         invariants.violations.clear()
         publisher: Any = globalLogPublisher
         publisher.addObserver(self.observe)
@@ -136,23 +138,23 @@
             self.run_clock()
             self.check_end()
         except invariants.InvariantError:
-            # Remembered by `invariants`.
+            # Already recorded in `invariants.violations`.
             pass
         except Exception as error:
-            # Any other error that reaches the clock is a fault as well.
+            # Any other exception that leaves the clock fails the run as well.
             self.errors.append(f"unhandled: {error!r}")
         finally:
             publisher.removeObserver(self.observe)
         return invariants.violations + self.errors
 
     def observe(self, event: Any) -> None:
-        """Keep errors that nothing else handled."""
+        """Record the failure that a log event carries, if any."""
         failure = event.get("log_failure")
         if failure is not None:
             self.errors.append(f"unhandled: {failure.getErrorMessage()}")
 
     def run_clock(self) -> None:
-        """Run the virtual time."""
+        """Run the phase with faults, undo them, and let the system settle."""
         self.rig.advance(3.0)
         for rate, action in (
             (PROMPTS_PER_S, self.send_prompt),
@@ -166,54 +168,59 @@
         self.rig.advance(FAULTY_S + SETTLE_S)
 
     def repeat(self, rate: float, action: Callable[[], None]) -> None:
-        """Do something at random times while the faults last."""
+        """Call an action at random times until the phase with faults ends.
+
+        Args:
+          rate: Mean number of calls per second.
+          action: The function to call.
+        """
 
         def act() -> None:
             if self.rig.clock.seconds() < FAULTY_S:
                 action()
-                later(self.source.expovariate(rate), act)
+                later(self.rng.expovariate(rate), act)
 
         later = self.rig.clock.callLater
-        later(self.source.expovariate(rate), act)
+        later(self.rng.expovariate(rate), act)
 
     def count(self, name: str) -> None:
-        """Count something the run did."""
+        """Increment a counter of the run."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def new_id(self) -> str:
         """Return a new request id."""
-        self.number += 1
-        return f"q{self.number}"
+        self.request_number += 1
+        return f"q{self.request_number}"
 
     # Callers.
 
     def send_prompt(self) -> None:
-        """Send a prompt; accounts share their prompts' text."""
-        topic = self.source.randrange(6)
+        """Send a prompt; prompts of different accounts share text."""
+        topic = self.rng.randrange(6)
         text = workload.level("instructions", 512) + workload.level(
             f"dossier {topic}", 512
         )
         self.submit(
             CallerRequest(
                 request_id=self.new_id(),
-                token=self.source.choice(ACCOUNTS),
+                token=self.rng.choice(ACCOUNTS),
                 path=openai_format.TEXT_PATH,
                 model="polar",
-                prompt=f"{text} {self.number}",
+                prompt=f"{text} {self.request_number}",
                 max_tokens=ANSWER_TOKENS,
             )
         )
 
     def send_booking(self) -> None:
-        """Send a booking, at times through several routers at once."""
-        key = keys.make_key(self.rig.wall(), self.source.getrandbits(74))
-        token = self.source.choice(ACCOUNTS)
-        copies = self.source.choice((1, 1, 1, 2, 3))
+        """Send a booking, sometimes in several copies at the same time."""
+        key = keys.make_key(self.rig.wall(), self.rng.getrandbits(74))
+        token = self.rng.choice(ACCOUNTS)
+        copies = self.rng.choice((1, 1, 1, 2, 3))
         for _ in range(copies):
             self.book(token, key, tries=RESUBMISSIONS)
 
     def book(self, token: str, key: str, tries: int) -> None:
-        """Submit a booking."""
+        """Submit a booking; if it fails, resubmit it up to `tries` times."""
         self.submit(
             CallerRequest(
                 request_id=self.new_id(),
@@ -226,11 +233,11 @@
         )
 
     def submit(self, request: CallerRequest, tries: int = 0) -> None:
-        """Submit a request to a router that the balancer chooses."""
+        """Submit a request to a random router, as a load balancer would."""
         up = [router for router in self.rig.routers if router.node.is_up]
         if not up:
             return
-        chosen = self.source.choice(up)
+        chosen = self.rng.choice(up)
         caller = SoakCaller(
             soak=self,
             request=request,
@@ -241,26 +248,26 @@
         self.callers.append(caller)
         self.count("submitted")
         chosen.node.run(chosen.node.epoch, lambda: self.arrive(chosen, caller))
-        if self.source.random() < 0.05:
+        if self.rng.random() < 0.05:
             self.rig.clock.callLater(
-                self.source.uniform(0.0, 1.0), self.leave, caller
+                self.rng.uniform(0.0, 1.0), self.disconnect, caller
             )
 
     def arrive(self, chosen: RigRouter, caller: SoakCaller) -> None:
-        """Give a request to a router."""
+        """Pass a request to the router that was chosen for it."""
         result = chosen.router.submit(caller.request, caller)
         if result.is_error():
             caller.ended(Ended(failure=result.error))
         else:
             caller.handling = result.ok
 
-    def leave(self, caller: SoakCaller) -> None:
-        """Let a caller go away."""
+    def disconnect(self, caller: SoakCaller) -> None:
+        """Simulate the disconnect of a caller that has no answer yet."""
         if caller.end is None and caller.handling is not None:
             caller.node.run(caller.epoch, caller.handling.cancel)
 
-    def answered(self, caller: SoakCaller) -> None:
-        """Check an answer, and submit a booking again that has none."""
+    def caller_ended(self, caller: SoakCaller) -> None:
+        """Check the answer to a request, and resubmit a booking that failed."""
         end = caller.end
         if end is None:
             return
@@ -273,7 +280,7 @@
             self.resubmit(caller)
 
     def check_text(self, caller: SoakCaller) -> None:
-        """A whole answer is the answer to this caller's own prompt."""
+        """Check that a complete answer belongs to the caller's own prompt."""
         text = openai_format.joined_text(openai_format.TEXT_PATH, caller.chunks)
         expected = engine_model.expected_answer(
             caller.request.prompt, ANSWER_TOKENS
@@ -283,11 +290,11 @@
         )
 
     def resubmit(self, caller: SoakCaller) -> None:
-        """Submit a booking again with its key, as callers do."""
+        """Submit a booking again with the same key, as real callers do."""
         key = caller.request.idempotency_key
         if caller.tries_left <= 0 or key is None:
             return
-        pause_s = self.source.uniform(0.5, 8.0)
+        pause_s = self.rng.uniform(0.5, 8.0)
         self.rig.clock.callLater(
             pause_s,
             self.book,
@@ -299,16 +306,20 @@
     # Operators.
 
     def race_commands(self) -> None:
-        """Let two operators give commands at the same moment."""
+        """Submit the commands of two operators at the same time."""
         for _ in range(2):
             up = [router for router in self.rig.routers if router.node.is_up]
             if up:
-                self.command(self.source.choice(up))
+                self.submit_command(self.rng.choice(up))
+
+    def submit_command(self, chosen: RigRouter) -> None:
+        """Submit a random command.
 
-    def command(self, chosen: RigRouter) -> None:
-        """Give a command, often based on what its operator has seen."""
-        target = self.source.choice(ENGINES)
-        command: Command = self.source.choice(
+        About half of the commands are conditional: they are rejected if the
+        configuration is no longer at the revision that the router holds.
+        """
+        target = self.rng.choice(ENGINES)
+        command: Command = self.rng.choice(
             (
                 Drain(target=target, because="soak"),
                 Admit(target=target),
@@ -317,12 +328,12 @@
                     table="kinds",
                     name="briefing",
                     field="priority",
-                    value=self.source.randrange(1, 9),
+                    value=self.rng.randrange(1, 9),
                 ),
             )
         )
         based_on = chosen.board.state.revision
-        if self.source.random() < 0.5:
+        if self.rng.random() < 0.5:
             based_on = -1
 
         async def submit() -> None:
@@ -342,8 +353,8 @@
     # Checks at the end.
 
     def check_end(self) -> None:
-        """Check the promises against the stand-ins."""
-        plain = self.faults.plain()
+        """Check the promises at the end of the run."""
+        plain = self.faults.plain_service()
         for key, count in plain.by_key.items():
             invariants.check(count <= 1, "at-most-once", f"{key}: {count}")
         for caller in self.callers:
@@ -352,14 +363,14 @@
         self.check_accounts()
 
     def check_caller(self, caller: SoakCaller, plain: PlainModel) -> None:
-        """Check what one caller was told."""
+        """Check the answer of one caller against the executions counted."""
         request = caller.request
         end = caller.end
         is_alive = caller.node.is_up and caller.node.epoch == caller.epoch
         invariants.check(
             end is not None or not is_alive,
             "final-answer",
-            f"{request.request_id} never ended",
+            f"request {request.request_id} has no answer",
         )
         if end is None or not request.idempotency_key:
             return
@@ -375,43 +386,45 @@
             )
 
     def check_config(self) -> None:
-        """All processes hold the fold of the log; nothing accepted is lost."""
+        """Check that all processes agree and no accepted command is lost."""
         boards = [router.board for router in self.rig.routers]
-        boards += [made.board for made in self.rig.agents.values()]
+        boards += [agent.board for agent in self.rig.agents.values()]
         digests = {config_fold.digest(board.state) for board in boards}
         invariants.check(
-            len(digests) == 1, "configuration-agreed", f"{len(digests)} states"
+            len(digests) == 1,
+            "configuration-agreed",
+            f"processes hold {len(digests)} different states",
         )
         revision = boards[0].state.revision
         for command in self.accepted:
             invariants.check(
                 command.offset <= revision,
                 "configuration-kept",
-                f"accepted at {command.offset}, in force {revision}",
+                f"accepted at offset {command.offset}, in force {revision}",
             )
 
     def check_accounts(self) -> None:
-        """Every request that ended has given back what it held."""
+        """Check that no request or attempt is still counted as open."""
         for router in self.rig.routers:
             for name, usage in router.board.limits.usage.items():
                 invariants.check(
                     usage.open_requests == 0,
                     "limits-released",
-                    f"{name} holds {usage.open_requests}",
+                    f"account {name} has {usage.open_requests} open requests",
                 )
             for target, health in router.board.members.health.items():
                 invariants.check(
                     health.open_attempts == 0,
                     "attempts-closed",
-                    f"{target} has {health.open_attempts}",
+                    f"target {target} has {health.open_attempts} open attempts",
                 )
 
 
 def first_commands() -> list[Command]:
-    """Return the configuration of the run; tokens are account names."""
-    made: list[Command] = [account_command(name, name) for name in ACCOUNTS]
-    made += language.commands_of(CONFIGURATION)
-    return made
+    """Return the initial configuration; an account's name is its token."""
+    commands: list[Command] = [account_command(name, name) for name in ACCOUNTS]
+    commands += language.commands_of(CONFIGURATION)
+    return commands
 
 
 def run_seed(seed: int) -> tuple[list[str], dict[str, int]]:
