--- a/sequoiawind/lab/memory_network.py
+++ b/sequoiawind/lab/memory_network.py
@@ -1,8 +1,9 @@
-"""In-memory transports on a virtual clock, with faults.
+"""In-memory transports on a virtual clock, with fault injection.
 
 Small fakes of the connections between processes, for tests, the soak run and
-experiments: latency, cuts, killed and paused processes, and chunks that
-arrive late, crossed or twice.  The processes' own code is the real one.
+experiments.  They model latency, broken connections, killed and paused
+processes, and chunks that arrive late, out of order or twice.  The code of the
+processes is the real one.
 """
 
 import random
@@ -29,7 +30,7 @@
 
 T = TypeVar("T")
 
-# A chunk of somebody else's answer.
+# A chunk of an answer to another request.
 FOREIGN: Final = openai_format.token_chunk(
     openai_format.TEXT_PATH, "other", "other", "foreign "
 )
@@ -37,19 +38,23 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Node:
-    """A process: it may be killed, restarted or paused."""
+    """A simulated process that can be killed, restarted and paused."""
 
     name: str
     is_up: bool = True
     is_paused: bool = False
-    # Changes with every restart.
+    # Incremented by every kill: callbacks of an earlier epoch are dropped.
     epoch: int = 0
-    # What arrived while paused.
+    # Callbacks that arrived while the process was paused.
     held: list[Callable[[], None]] = attrs.field(factory=list)
     connections: list["Connection"] = attrs.field(factory=list)
 
     def run(self, epoch: int, action: Callable[[], None]) -> None:
-        """Do something in this process, if it still is the same one."""
+        """Run a callback in this process.
+
+        It is dropped if the process has been killed since `epoch`, and held
+        until `resume` while the process is paused.
+        """
         if not self.is_up or epoch != self.epoch:
             return
         if self.is_paused:
@@ -58,7 +63,7 @@
         action()
 
     def kill(self) -> None:
-        """End the process; its connections break."""
+        """Kill the process and break its connections."""
         self.is_up = False
         self.is_paused = False
         self.epoch += 1
@@ -67,15 +72,15 @@
             connection.cut()
 
     def restart(self) -> None:
-        """Start a new process of this name."""
+        """Start a new process under the same name."""
         self.is_up = True
 
     def pause(self) -> None:
-        """Stop the process in its tracks."""
+        """Suspend the process: callbacks are held until `resume`."""
         self.is_paused = True
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume the process and run the callbacks held meanwhile."""
         self.is_paused = False
         held, self.held = self.held, []
         for action in held:
@@ -84,7 +89,11 @@
 
 @attrs.define(kw_only=True)
 class NodeClock:
-    """The clock of one process: its timers die and pause with it."""
+    """The clock of one process.
+
+    Its timers do nothing once the process has been killed, and are delayed
+    while it is paused.
+    """
 
     clock: Clock
     node: Node
@@ -100,7 +109,7 @@
         *args: object,
         **kw: object,
     ) -> Timer:
-        """Call a function later, in this process."""
+        """Call a function in this process after a delay in seconds."""
 
         def act() -> None:
             callable(*args, **kw)
@@ -113,21 +122,21 @@
 
 @attrs.define(kw_only=True)
 class ChunkFaults:
-    """Shares of chunks that meet each fault."""
+    """Probability of each fault, drawn for every chunk."""
 
     lost: float = 0.0
     doubled: float = 0.0
     crossed: float = 0.0
     foreign: float = 0.0
-    # Share of connections that break at some chunk.
+    # Probability that the connection breaks at a chunk.
     broken: float = 0.0
-    # Processes whose chunks are affected, by the beginning of their names.
+    # Prefix of the names of the sending processes that are affected.
     sender: str = ""
 
 
 @attrs.define(kw_only=True)
 class Network:
-    """Connects the processes of one run."""
+    """The network between the processes of one run."""
 
     clock: Clock
     random: random.Random
@@ -135,13 +144,17 @@
     faults: ChunkFaults = attrs.field(factory=ChunkFaults)
 
     def send(self, node: Node, action: Callable[[], None]) -> None:
-        """Do something in a process after the network's latency."""
+        """Run a callback in a process after the network's latency."""
         self.clock.callLater(self.latency_s, node.run, node.epoch, action)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Connection:
-    """One attempt between two processes; the far sink sends back through it."""
+    """The connection of one attempt from the near to the far process.
+
+    It is the far process's `Sink`, which sends to the near process's sink, and
+    the near process's `Call`.
+    """
 
     network: Network
     near: Node
@@ -165,23 +178,23 @@
         self.network.send(self.far, arrive)
 
     def arrive(self, port: TargetPort, address: str, attempt: Attempt) -> None:
-        """The attempt has reached the far process."""
+        """Pass the attempt to the far process's port."""
         if not self.is_closed:
             self.far_call = port.open(address, attempt, self)
 
     def started(self, load: LoadReport) -> None:
-        """The far process has admitted the attempt."""
-        self.back(partial(self.sink.started, load))
+        """Report to the near process that the attempt has been admitted."""
+        self.send_back(partial(self.sink.started, load))
 
     def chunk(self, attempt_id: str, index: int, data: bytes) -> None:
-        """The far process sends a chunk."""
+        """Send a chunk to the near process, subject to the faults."""
         faults = self.network.faults
         if not self.far.name.startswith(faults.sender):
             faults = ChunkFaults()
         draw = self.network.random.random
         deliver = partial(self.sink.chunk, attempt_id, index, data)
         if faults.foreign and draw() < faults.foreign:
-            self.back(partial(self.sink.chunk, "other", index, FOREIGN))
+            self.send_back(partial(self.sink.chunk, "other", index, FOREIGN))
         if faults.broken and draw() < faults.broken:
             self.cut()
             return
@@ -190,24 +203,24 @@
         if faults.crossed and draw() < faults.crossed:
             self.held_back.append(deliver)
             return
-        self.back(deliver)
+        self.send_back(deliver)
         if faults.doubled and draw() < faults.doubled:
-            self.back(deliver)
+            self.send_back(deliver)
         self.release_held()
 
     def release_held(self) -> None:
-        """Send the chunks that others have overtaken."""
+        """Send the chunks that were held back to reorder them."""
         held, self.held_back = self.held_back, []
         for deliver in held:
-            self.back(deliver)
+            self.send_back(deliver)
 
     def ended(self, ended: Ended) -> None:
-        """The far process ends the attempt."""
+        """Send the chunks held back, then the end of the attempt."""
         self.release_held()
-        self.back(partial(self.deliver_end, ended))
+        self.send_back(partial(self.deliver_end, ended))
 
-    def back(self, action: Callable[[], None]) -> None:
-        """Do something in the near process."""
+    def send_back(self, action: Callable[[], None]) -> None:
+        """Run a callback in the near process if the connection is open."""
 
         def act() -> None:
             if not self.is_closed:
@@ -216,19 +229,19 @@
         self.network.send(self.near, act)
 
     def deliver_end(self, ended: Ended) -> None:
-        """End the attempt in the near process."""
+        """Close the connection and end the attempt in the near process."""
         self.close()
         self.sink.ended(ended)
 
     def close(self) -> None:
-        """Forget the connection."""
+        """Close the connection and remove it from both processes."""
         self.is_closed = True
         for node in (self.near, self.far):
             if self in node.connections:
                 node.connections.remove(self)
 
     def cut(self) -> None:
-        """Break the connection: each side learns of it."""
+        """Break the connection and notify both processes."""
         if self.is_closed:
             return
         self.close()
@@ -276,7 +289,7 @@
     def probe(
         self, address: str, probe: Probe
     ) -> Deferred[Result[ProbeAnswer, Failure]]:
-        """Ask the agent of an address; no answer from one that is down."""
+        """Probe the agent at an address; fails if its process is down."""
         far, port = self.look_up(address)
         done: Deferred[Result[ProbeAnswer, Failure]] = Deferred()
 
@@ -298,7 +311,7 @@
 
 @attrs.define(kw_only=True)
 class MemoryEnginePort:
-    """An `EnginePort` straight to an engine model."""
+    """An `EnginePort` that calls an engine model directly."""
 
     engine: EngineModel
 
@@ -319,11 +332,11 @@
     def order_version(
         self, version: str, fencing: int
     ) -> Deferred[Result[bool, Failure]]:
-        """Order other weights."""
+        """Order the engine to load other weights."""
         return self.answer(lambda: self.engine.order_version(version, fencing))
 
     def answer(self, ask: Callable[[], T]) -> Deferred[Result[T, Failure]]:
-        """Ask the engine, if it is up."""
+        """Return the result of a call to the engine; an error if down."""
         done: Deferred[Result[T, Failure]] = Deferred()
         if self.engine.is_down:
             down = not_run(Reason.CONNECT_FAILED, messages.CONNECT_FAILED)
--- a/sequoiawind/lab/rig.py
+++ b/sequoiawind/lab/rig.py
@@ -1,8 +1,8 @@
 """Routers, agents and stand-ins in one process on a virtual clock.
 
-The soak run, the experiments and the tests of whole sessions build on it.
-Routers and agents are the real ones; only transports, log and targets are
-stand-ins.
+Used by the soak run, the experiments and the tests of whole sessions.  The
+code of routers and agents is the real one; only transports, log and targets
+are stand-ins.
 """
 
 import random
@@ -41,7 +41,8 @@
 from sequoiawind.router import Router
 from sequoiawind.verdict import Failure
 
-# The virtual epoch, so that times in keys look like real ones.
+# Unix time at which the virtual clock starts, in seconds, so that times in
+# keys look like real ones.
 EPOCH_S: Final = 1_700_000_000.0
 
 T = TypeVar("T")
@@ -49,7 +50,7 @@
 
 @attrs.frozen(kw_only=True)
 class RigTarget:
-    """A target to build."""
+    """Parameters of a target to start."""
 
     name: str
     pool: str
@@ -81,7 +82,11 @@
 
 @attrs.define(kw_only=True)
 class NodeLog:
-    """The log as one process reaches it: answers die with the process."""
+    """Access of one process to the log.
+
+    Answers are dropped if the process has been killed, and held back while it
+    is paused.
+    """
 
     log: LogModel
     node: Node
@@ -89,17 +94,17 @@
     def append(
         self, stream: str, records: Sequence[str]
     ) -> Deferred[Result[int, Failure]]:
-        """Append records."""
-        return self.pass_on(self.log.append(stream, records))
+        """Append records; return the offset of the first."""
+        return self.receive(self.log.append(stream, records))
 
     def read(
         self, stream: str, start: int, limit: int
     ) -> Deferred[Result[LogPage, Failure]]:
-        """Read records."""
-        return self.pass_on(self.log.read(stream, start, limit))
+        """Read up to `limit` records from an offset on."""
+        return self.receive(self.log.read(stream, start, limit))
 
-    def pass_on(self, answer: Deferred[T]) -> Deferred[T]:
-        """Deliver an answer in this process."""
+    def receive(self, answer: Deferred[T]) -> Deferred[T]:
+        """Return an answer of the log as this process receives it."""
         done: Deferred[T] = Deferred()
         epoch = self.node.epoch
 
@@ -112,37 +117,35 @@
 
 @attrs.define(kw_only=True)
 class Rig:
-    """All processes of a run."""
+    """All processes of a run and what they share."""
 
     seed: int
     parameters: EngineParameters = attrs.field(factory=EngineParameters)
     queue: Callable[[], FairQueue] = attrs.field(default=FairQueue)
     clock: VirtualClock = attrs.field(factory=VirtualClock)
-    source: random.Random = attrs.field(init=False)
+    rng: random.Random = attrs.field(init=False)
     log: LogModel = attrs.field(init=False)
     weights: WeightStore = attrs.field(init=False)
     network: Network = attrs.field(init=False)
     agents: dict[str, RigAgent] = attrs.field(factory=dict)
     routers: list[RigRouter] = attrs.field(factory=list)
     router_count: int = 2
-    # Makes the routers' placement; replaced by the experiments' baselines.
+    # Makes each router's placer; the experiments replace it by baselines.
     make_placer: Callable[..., Placer] = attrs.field(default=ProbingPlacer)
 
     def __attrs_post_init__(self) -> None:
-        """Make the clockwork that everything shares."""
-        self.source = random.Random(self.seed)
-        self.log = LogModel(
-            clock=self.clock, random=self.source, epoch_s=EPOCH_S
-        )
+        """Create the shared log, weight store and network."""
+        self.rng = random.Random(self.seed)
+        self.log = LogModel(clock=self.clock, random=self.rng, epoch_s=EPOCH_S)
         self.weights = WeightStore(clock=self.clock)
-        self.network = Network(clock=self.clock, random=self.source)
+        self.network = Network(clock=self.clock, random=self.rng)
 
     def wall(self) -> float:
-        """Return the virtual time since the epoch."""
+        """Return the virtual time in seconds since the Unix epoch."""
         return EPOCH_S + self.clock.seconds()
 
     def configure(self, commands: list[Command]) -> None:
-        """Put commands into the log directly."""
+        """Append commands to the configuration stream, past the routers."""
         records = [
             config_fold.make_record(f"boot-{number}", "boot", command)
             for number, command in enumerate(commands)
@@ -157,7 +160,7 @@
             model = EngineModel(
                 name=target.name,
                 clock=self.clock,
-                random=self.source,
+                random=self.rng,
                 parameters=self.parameters,
                 weights=self.weights,
             )
@@ -168,7 +171,7 @@
     def make_agent(
         self, node: Node, model: EngineModel | PlainModel
     ) -> RigAgent:
-        """Start an agent process beside a target."""
+        """Start the agent process of a target."""
         clock = NodeClock(clock=self.clock, node=node)
         is_engine = isinstance(model, EngineModel)
         target_node = Node(name=model.name)
@@ -188,42 +191,42 @@
             block_bytes=self.parameters.block_bytes,
             queue=self.queue(),
         )
-        made = RigAgent(node=node, agent=agent, target=model, board=board)
+        started = RigAgent(node=node, agent=agent, target=model, board=board)
         if isinstance(model, EngineModel):
-            made.watcher = EngineWatcher(
+            started.watcher = EngineWatcher(
                 agent=agent,
                 port=MemoryEnginePort(engine=model),
                 clock=clock,
-                random=self.source,
+                random=self.rng,
                 board=board,
                 slots=LoadSlots(log=self.node_log(node), target=model.name),
             )
-            Deferred.fromCoroutine(made.watcher.run())
-        made.follower = self.make_follower(node, board)
-        made.follower.on_change = lambda: agent.follow_config(board.state)
-        Deferred.fromCoroutine(made.follower.run())
-        return made
+            Deferred.fromCoroutine(started.watcher.run())
+        started.follower = self.make_follower(node, board)
+        started.follower.on_change = lambda: agent.follow_config(board.state)
+        Deferred.fromCoroutine(started.follower.run())
+        return started
 
     def make_follower(self, node: Node, board: Blackboard) -> ConfigFollower:
-        """Return the configuration follower of a process."""
+        """Return a configuration follower for a process."""
         return ConfigFollower(
             board=board,
             log=self.node_log(node),
             clock=NodeClock(clock=self.clock, node=node),
-            random=self.source,
+            random=self.rng,
             wall=self.wall,
             retention_s=self.log.retention_s,
         )
 
     def node_log(self, node: Node) -> LogPort:
-        """Return the log as a process reaches it."""
+        """Return a process's access to the log."""
         return NodeLog(log=self.log, node=node)
 
     def add_router(self, name: str) -> RigRouter:
-        """Start a router."""
-        made = self.start_router(Node(name=name))
-        self.routers.append(made)
-        return made
+        """Start a router and add it to the rig."""
+        router = self.start_router(Node(name=name))
+        self.routers.append(router)
+        return router
 
     def start_router(self, node: Node) -> RigRouter:
         """Start a router process."""
@@ -234,7 +237,7 @@
         port = MemoryPort(network=self.network, near=node, look_up=self.look_up)
         around = Surroundings(
             clock=clock,
-            random=self.source,
+            random=self.rng,
             port=port,
             members=board.members,
             budgets=board.budgets,
@@ -242,15 +245,15 @@
         claimant = Claimant(
             log=self.node_log(node),
             clock=clock,
-            random=self.source,
+            random=self.rng,
             owner=f"{node.name}.{node.epoch}",
         )
-        made = Router(
+        router = Router(
             board=board,
             around=around,
             placer=self.make_placer(board=board, clock=clock, port=port),
             claimant=claimant,
-            random=self.source,
+            random=self.rng,
             wall=self.wall,
             key_limits=keys.limits_for(self.log.retention_s),
         )
@@ -259,7 +262,9 @@
             if peer.node.is_up and not peer.node.is_paused:
                 board.offer_config(peer.board.folded)
         Deferred.fromCoroutine(follower.run())
-        return RigRouter(node=node, router=made, follower=follower, board=board)
+        return RigRouter(
+            node=node, router=router, follower=follower, board=board
+        )
 
     def restart_router(self, number: int) -> None:
         """Replace a killed router process by a new one."""
@@ -274,12 +279,12 @@
         self.agents[name] = self.make_agent(old.node, old.target)
 
     def look_up(self, address: str) -> tuple[Node, TargetPort]:
-        """Return the process and agent at an address."""
-        made = self.agents[address]
-        return made.node, made.agent
+        """Return the process and the agent at an address."""
+        found = self.agents[address]
+        return found.node, found.agent
 
     def advance(self, until_s: float) -> None:
-        """Run the clock, from one event to the next."""
+        """Advance the virtual clock, running each event at its time."""
         self.clock.advance_to(until_s)
 
 
