--- a/sequoiawind/lab/forward_mutants.py
+++ b/sequoiawind/lab/forward_mutants.py
@@ -23,28 +23,28 @@
 def salt_without_version(
     account: str, model: str, version: int, is_isolated: bool
 ) -> str:
-    """Share cached parts among versions."""
+    """Share cached parts among weights versions."""
     return prompt_cache.cache_salt(account, model, 0, is_isolated)
 
 
-def always_not_run(self: Course, failure: Failure) -> Failure:
-    """Tell only the verdict of the last attempt."""
+def last_verdict_only(self: Course, failure: Failure) -> Failure:
+    """Return the verdict of the last attempt instead of that of all."""
     return failure
 
 
 def no_deadline(self: Course, left_s: float) -> None:
-    """Let requests take as long as they like."""
+    """Set no deadline for a request."""
 
 
 def failed_is_done(self: ForwardAttempt, failure: Failure) -> None:
-    """Take a broken answer for a whole one."""
+    """Treat a broken answer as a complete one."""
     self.done()
 
 
 def pass_all_events(
     self: Forwarding, attempt: ForwardAttempt, data: bytes, event: int | None
 ) -> None:
-    """Pass on what the caller has already, and resume from the beginning."""
+    """Pass on events that the caller has, and resume from the beginning."""
     if self.is_finished or attempt.answer is None:
         return
     self.pass_head(attempt.answer)
@@ -52,12 +52,12 @@
 
 
 def all_versions(has: int | None, named: Any) -> list[NamedVersion]:
-    """Order what the target has already."""
+    """Return all named versions, also those that the target has."""
     return list(named)
 
 
 def foreign_memory(self: StreamMove) -> None:
-    """Go on with whatever memory of a run lies at the goal."""
+    """Resume from any memory at the goal, also that of another run."""
     self.attempt.cancel()
     self.attempt.move = None
     port: Any = self.forwarding.forwarder.port
@@ -76,7 +76,7 @@
     )
     for name, owner, attribute, replacement in (
         (
-            "keys are trusted for ever",
+            "keys are trusted forever",
             Planner,
             "trusts_keys",
             property(lambda self: True),
@@ -100,13 +100,18 @@
             lambda failure, is_idempotent: True,
         ),
         (
-            "a refusal speaks of the last attempt only",
+            "a refusal has the verdict of the last attempt only",
             Course,
             "covering",
-            always_not_run,
+            last_verdict_only,
         ),
         ("requests have no deadline", Course, "start_deadline", no_deadline),
-        ("a broken answer is whole", ForwardAttempt, "failed", failed_is_done),
+        (
+            "a broken answer counts as complete",
+            ForwardAttempt,
+            "failed",
+            failed_is_done,
+        ),
         (
             "events are passed on twice",
             Forwarding,
@@ -115,7 +120,7 @@
         ),
         ("weights are ordered again", rollout, "lacking", all_versions),
         (
-            "a run goes on from any memory",
+            "a run resumes from any memory",
             StreamMove,
             "settle_moved",
             foreign_memory,
--- a/sequoiawind/lab/mutants.py
+++ b/sequoiawind/lab/mutants.py
@@ -1,6 +1,6 @@
 """Mutants: the program with one mechanism broken at a time.
 
-The soak run must find a violation with each of them; a check that cannot
+The soak run must report a violation for each of them; a check that cannot
 fail proves nothing.
 """
 
@@ -36,32 +36,32 @@
 
 @attrs.frozen(kw_only=True)
 class Mutant:
-    """One broken mechanism."""
+    """One broken mechanism, and the soak run that must detect it."""
 
     name: str
     # The object and attribute to replace, and by what.
     owner: Any
     attribute: str
     replacement: Any
-    # The soak that has to find it.
+    # Runs one seed of that soak; returns its violations and counts.
     run_seed: Callable[[int], tuple[list[str], dict[str, int]]] = soak.run_seed
 
     @contextmanager
     def applied(self) -> Iterator[None]:
-        """Break the mechanism."""
+        """Break the mechanism inside a `with` block."""
         with mock.patch.object(self.owner, self.attribute, self.replacement):
             yield
 
 
 async def acquire_without_log(self: Claimant, claim: claims.Claim) -> Any:
-    """Take every claim for won."""
+    """Treat every claim as won."""
     return Ok(None)
 
 
 async def never_read_back(
     self: Claimant, stream: ClaimStream, claim: Any, appended: Any
 ) -> bool:
-    """Believe that the own claim was first without reading."""
+    """Assume that its own claim came first, without reading the log."""
     stream.table.entries[claim.key] = claims.Entry(
         claim=claim, offset=-1, time_s=0.0
     )
@@ -71,7 +71,7 @@
 async def release_always(
     self: router.Handling, claim: claims.Claim, ended: Any
 ) -> None:
-    """Release a claim though its action may have run."""
+    """Release a claim even if its action may have run."""
     if ended.reply is not None:
         self.router.claimant.record_outcome(claim, ended.reply)
     else:
@@ -80,7 +80,7 @@
 
 
 def take_any_chunk(self: ChunkOrder, index: int, data: bytes) -> list[bytes]:
-    """Pass chunks on as they come."""
+    """Pass chunks on in the order of their arrival."""
     self.passed.append(data)
     self.expected = index + 1
     self.is_whole = data == openai_format.DONE
@@ -90,13 +90,13 @@
 def take_foreign_chunk(
     self: exchange.AttemptSink, attempt_id: str, index: int, data: bytes
 ) -> None:
-    """Take chunks of other attempts."""
+    """Accept chunks of other attempts."""
     if not self.is_over:
         self.exchange.take_chunk(index, data)
 
 
 def always_answered(self: exchange.Exchange, ended: Any) -> bool:
-    """Take every end for the end of a whole answer."""
+    """Treat every end as the end of a complete answer."""
     return True
 
 
@@ -105,7 +105,7 @@
 
 
 def lost_is_not_run(reason: Any, detail: str = "", retry: Any = None) -> Any:
-    """Take a lost connection for proof that nothing ran."""
+    """Treat a lost connection as proof that nothing ran."""
     return not_run(reason, detail, retry)
 
 
@@ -121,13 +121,13 @@
 
 
 def offer_any(self: Blackboard, folded: Any) -> bool:
-    """Take any configuration, older ones too."""
+    """Accept any configuration, also an older one."""
     self.folded = folded
     return True
 
 
-def ignore_rejections(state: Any, record: Any) -> Any:
-    """Accept what was based on another revision, by wall of this process."""
+def apply_by_address(state: Any, record: Any) -> Any:
+    """Make the fold depend on a memory address, so that processes differ."""
     if id(state) % 32 < 16:
         return config_fold.apply(commands.Admit(target="e0"), state)
     return Ok(state)
@@ -136,7 +136,7 @@
 async def accept_unread(
     self: ConfigFollower, command: Any, actor: str, based_on: int = -1
 ) -> Any:
-    """Say accepted as soon as the command was sent."""
+    """Report a command as accepted as soon as it has been sent."""
     record = config_fold.make_record(actor, actor, command, based_on)
     await self.log.append("config", [record])
     decision = config_fold.Decision(
@@ -145,13 +145,13 @@
     return Ok(decision)
 
 
-def keep_limits(self: Any, account: str) -> None:
-    """Never give back an open request."""
+def never_release(self: Any, account: str) -> None:
+    """Never release an open request."""
 
 
 MUTANTS: Final = (
     Mutant(
-        name="claims are not taken from the log",
+        name="claims are won without the log",
         owner=Claimant,
         attribute="acquire",
         replacement=acquire_without_log,
@@ -175,7 +175,7 @@
         replacement=lambda failure, is_idempotent: True,
     ),
     Mutant(
-        name="chunks are passed on as they come",
+        name="chunks are passed on in the order of arrival",
         owner=ChunkOrder,
         attribute="take",
         replacement=take_any_chunk,
@@ -187,13 +187,13 @@
         replacement=take_foreign_chunk,
     ),
     Mutant(
-        name="an answer without its end is whole",
+        name="an answer without its end counts as complete",
         owner=exchange.Exchange,
         attribute="is_answered",
         replacement=always_answered,
     ),
     Mutant(
-        name="a lost connection proves not run",
+        name="a lost connection counts as not run",
         owner=memory_network,
         attribute="may_have_run",
         replacement=lost_is_not_run,
@@ -226,22 +226,23 @@
         name="the fold depends on the process",
         owner=config_fold,
         attribute="apply_record",
-        replacement=ignore_rejections,
+        replacement=apply_by_address,
     ),
     Mutant(
         name="limits are not released",
         owner=AccountLimits,
         attribute="release",
-        replacement=keep_limits,
+        replacement=never_release,
     ),
 )
 
 
 def hunt(mutant: Mutant) -> tuple[int, str]:
-    """Run seeds until a mutant is found.
+    """Run seeds of a mutant's soak until one reports a violation.
 
     Returns:
-      The seed that found it and the violation; -1 and nothing if none did.
+      The seed and its first violation; -1 and an empty text if no seed
+      reports one.
     """
     with mutant.applied():
         for seed in range(MAX_SEEDS):
--- a/sequoiawind/lab/soak_faults.py
+++ b/sequoiawind/lab/soak_faults.py
@@ -185,7 +185,7 @@
             router.board.members.vms = {}
 
     def heal(self) -> None:
-        """Undo all faults; restart dead routers and resume paused processes."""
+        """Undo the injected faults, except for the loss of cache events."""
         self.heal_log()
         self.heal_chunks()
         self.heal_vm_list()
