--- a/sequoiawind/lab/forward_callers.py
+++ b/sequoiawind/lab/forward_callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak of forwarding, and what they are told."""
+"""Callers of the forwarding soak, and checks of the answers they receive."""
 
 from typing import Final
 
@@ -8,7 +8,7 @@
 from sequoiawind.forward_plan import ForwardRequest
 from sequoiawind.forward_state import ForwardKind
 from sequoiawind.headers import Headers
-from sequoiawind.lab.forward_world import event_bytes, events_of
+from sequoiawind.lab.forward_world import event_bytes, event_count
 from sequoiawind.lab.memory_network import Node
 from sequoiawind.lab.virtual_clock import VirtualClock
 from sequoiawind.verdict import Failure, Verdict
@@ -65,7 +65,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ForwardSoakCaller:
-    """One request of a caller, and what it was told."""
+    """One request by a caller, and the answer it received."""
 
     request: ForwardRequest
     kind: ForwardKind
@@ -80,46 +80,48 @@
     ended_s: float = -1.0
 
     def send_head(self, status: int, headers: Headers) -> None:
-        """Take a head."""
+        """Record the head of the answer; there must be only one."""
         invariants.check(self.status == 0, "one-head", self.request.request_id)
         self.status = status
 
     def send_data(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Record a part of the body."""
         self.body += data
 
     def send_end(self) -> None:
-        """Take the end."""
+        """Record the end of a complete answer."""
         self.is_whole = True
         self.ended()
 
     def reply(self, status: int, headers: Headers, body: bytes) -> None:
-        """Take a whole answer."""
+        """Record a complete answer."""
         self.send_head(status, headers)
         self.body = body
         self.send_end()
 
     def break_off(self) -> None:
-        """Take the end of an incomplete answer."""
+        """Record the end of an incomplete answer."""
         self.is_broken = True
         self.ended()
 
     def refuse(self, failure: Failure) -> None:
-        """Take a failure."""
+        """Record a failure."""
         self.failure = failure
         self.ended()
 
     def ended(self) -> None:
-        """Check that there is one end, and that it comes in time."""
+        """Record the time of the end; there must be only one."""
         request = self.request
         invariants.check(self.ended_s < 0.0, "one-end", request.request_id)
         self.ended_s = self.clock.seconds()
 
     def check(self, runs: int) -> None:
-        """Check what the caller was told against what ran."""
+        """Check the answer against the number of runs of the request."""
         name, kind = self.request.request_id, self.kind
         if not kind.may_repeat:
-            invariants.check(runs <= 1, "at-most-once", f"{name}: {runs}")
+            invariants.check(
+                runs <= 1, "at-most-once", f"request {name} ran {runs} times"
+            )
         if self.failure and self.failure.verdict is Verdict.NOT_RUN:
             invariants.check(runs == 0, "not-run-is-not-run", name)
         if not self.is_whole:
@@ -127,11 +129,11 @@
         if not kind.is_stream:
             expected = name.encode()
         else:
-            numbers = range(1, events_of(name) + 1)
+            numbers = range(1, event_count(name) + 1)
             expected = b"".join(event_bytes(name, item) for item in numbers)
         invariants.check(self.body == expected, "whole-answer", name)
 
     @property
     def is_served(self) -> bool:
-        """Whether the caller got the answer of a run."""
+        """Whether the caller received a complete answer with status 200."""
         return self.is_whole and self.status == 200
--- a/sequoiawind/lab/forward_nodes.py
+++ b/sequoiawind/lab/forward_nodes.py
@@ -1,4 +1,4 @@
-"""Processes of the soak of forwarding: real decisions, transports in memory."""
+"""Routers and agents of the forwarding soak, with in-memory transports."""
 
 import random
 from typing import Any, Final, cast
@@ -45,7 +45,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ModelAgents:
-    """One process's way to the agents, for routers and for agents."""
+    """In-memory `AgentClient` of one process, a router or an agent."""
 
     processes: "Processes"
     node: Node
@@ -54,14 +54,17 @@
     async def status(
         self, address: str, after: int = -1
     ) -> TargetStatus | None:
-        """Return the status of the target at an address."""
+        """Return an agent's status; None if the agent does not answer.
+
+        Waits until the status is newer than `after`, at most `STATUS_WAIT_S`.
+        """
         ends_s = self.clock.seconds() + STATUS_WAIT_S
         while True:
             await timing.sleep(self.clock, STATUS_POLL_S)
-            made = self.processes.agents.get(address)
-            if made is None or not made.node.is_up or made.node.is_paused:
+            found = self.processes.agents.get(address)
+            if found is None or not found.node.is_up or found.node.is_paused:
                 return None
-            agent = made.agent
+            agent = found.agent
             if self.node.name.startswith("r"):
                 agent.heard_from(self.node.name)
             is_over = self.clock.seconds() >= ends_s
@@ -78,7 +81,7 @@
     board: Blackboard
     fleet: Fleet
     forwarder: Forwarder
-    # The newest configuration that was seen in force there; -1 for none.
+    # Newest configuration revision seen in force here; -1 for none.
     revision: int = -1
 
 
@@ -92,29 +95,29 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Processes:
-    """The routers and agents of one run."""
+    """The router and agent processes of one run."""
 
     world: World
-    source: random.Random
+    rng: random.Random
     log: Any = attrs.field(init=False)
     routers: dict[str, SoakRouter] = attrs.field(factory=dict)
     agents: dict[str, SoakAgent] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Make a log that nobody reads."""
-        self.log = structlog.wrap_logger(structlog.PrintLogger(file=NOWHERE))
+        """Create a logger whose output is discarded."""
+        self.log = structlog.wrap_logger(structlog.PrintLogger(file=NULL_FILE))
 
     def follow(
         self, node: Node, topic: str, reader: RecordReader, wait_s: float
     ) -> None:
-        """Keep a reader of a process up to date."""
+        """Start a follower that passes the records of a topic to a reader."""
         clock = NodeClock(clock=self.world.clock, node=node)
         follower = RecordFollower(
             topic=topic,
             port=StorePort(world=self.world, node=node.name, clock=clock),
             reader=reader,
             clock=clock,
-            random=self.source,
+            random=self.rng,
             wait_s=wait_s,
             age_clock=self.world.clock.seconds,
             log=self.log,
@@ -122,23 +125,23 @@
         Deferred.fromCoroutine(follower.run())
 
     def codec(self) -> OperatorCodec:
-        """Return how records stand for objects."""
+        """Return the codec for records of the operator topic."""
         return OperatorCodec(
             config_key="config",
             weights_prefix="weights/",
-            config=lambda data: cast(ForwardState, self.object(data)),
+            config=lambda data: cast(ForwardState, self.decode_object(data)),
             weights=lambda data: NamedWeights(
-                version=cast(NamedVersion, self.object(data)).version
+                version=cast(NamedVersion, self.decode_object(data)).version
             ),
         )
 
-    def object(self, data: bytes) -> object:
-        """Return what a record stands for."""
+    def decode_object(self, data: bytes) -> object:
+        """Return the object whose index a record holds."""
         return self.world.objects[int(data)]
 
     def decode_target(self, name: str, data: bytes) -> Result[Any, str]:
-        """Return the entry that a record stands for."""
-        return Ok(self.object(data))
+        """Return the target entry whose index a record holds."""
+        return Ok(self.decode_object(data))
 
     def start_router(self, node: Node) -> None:
         """Start a router process."""
@@ -153,16 +156,14 @@
         forwarder = Forwarder(
             board=board,
             fleet=fleet,
-            planner=Planner(
-                board=board, freshness=freshness, random=self.source
-            ),
+            planner=Planner(board=board, freshness=freshness, random=self.rng),
             port=port,
             caches=CacheWatcher(
-                port=port, clock=clock, random=self.source, log=self.log
+                port=port, clock=clock, random=self.rng, log=self.log
             ),
             clock=clock,
             window=RepeatWindow(ratio=0.2, allowance=60.0, window_s=10.0),
-            random=self.source,
+            random=self.rng,
             domain="d1",
             weights_s=WEIGHTS_S,
             settle_s=3.0,
@@ -180,7 +181,7 @@
             fleet=fleet,
             agents=cast(AgentClient, agents),
             clock=clock,
-            random=self.source,
+            random=self.rng,
             log=self.log,
             on_change=forwarder.status_changed,
         )
@@ -208,16 +209,17 @@
         self.follow(node, "targets", targets, 1.4)
 
     def start_agent(self, address: str) -> None:
-        """Start the agent beside a target."""
+        """Start the agent process at a target's address."""
         old = self.agents.get(address)
         node = old.node if old else Node(name=f"agent-{address}")
         clock = NodeClock(clock=self.world.clock, node=node)
         fleet = Fleet()
-        first = next(iter(self.world.targets.values()))
+        # Its calls go to the target at an address, so that any target will do.
+        any_target = next(iter(self.world.targets.values()))
         agent = ForwardAgent(
             address=address,
             holder=node.name,
-            port=first,
+            port=any_target,
             clock=clock,
             fleet=fleet,
             log=self.log,
@@ -241,21 +243,21 @@
 
 @attrs.frozen(kw_only=True)
 class NamedWeights:
-    """Newly named weights, as their record tells."""
+    """Decoded record of a weights version that the operator named."""
 
     version: int
     model: str = MODEL
 
 
-class Nowhere:
-    """A file that keeps nothing."""
+class NullFile:
+    """A file that discards what is written to it."""
 
     def write(self, text: str) -> int:
-        """Forget a text."""
+        """Discard a text; return its length."""
         return len(text)
 
     def flush(self) -> None:
         """Do nothing."""
 
 
-NOWHERE: Final[Any] = Nowhere()
+NULL_FILE: Final[Any] = NullFile()
--- a/sequoiawind/lab/forward_soak.py
+++ b/sequoiawind/lab/forward_soak.py
@@ -1,8 +1,8 @@
-"""A random run of the forwarding routers and agents under faults.
+"""A randomized run of the forwarding routers and agents with faults.
 
-The decision code and the controllers are the real ones; the platform is
-`forward_world`.  Promises are asserted there, and here against what callers
-were told.
+The decision code and the controllers are the real ones; `forward_world` is a
+model of the platform.  Promises are checked there, and here against the
+answers that callers received.
 """
 
 import random
@@ -48,37 +48,40 @@
 REQUESTS_PER_S: Final = 14.0
 FAULTS_PER_S: Final = 0.6
 REVOKE_S: Final = 5.0
-# Answers may be that late, in seconds: a few turns of the event loop.
-LATE_S: Final = 0.05
+# How long after its deadline an answer may come, in seconds: a few iterations
+# of the event loop.
+DEADLINE_TOLERANCE_S: Final = 0.05
 
 
 @attrs.define(kw_only=True, eq=False)
 class ForwardSoak:
-    """One run."""
+    """One soak run of the forwarding, with its callers and faults."""
 
     seed: int
     clock: VirtualClock = attrs.field(factory=VirtualClock)
-    source: random.Random = attrs.field(init=False)
+    rng: random.Random = attrs.field(init=False)
     world: World = attrs.field(init=False)
     processes: Processes = attrs.field(init=False)
     callers: list[ForwardSoakCaller] = attrs.field(factory=list)
-    keys: set[str] = attrs.field(factory=lambda: set(KEYS))
+    # Keys of callers that have not been revoked.
+    valid_keys: set[str] = attrs.field(factory=lambda: set(KEYS))
     revision: int = 0
-    # Weights in the order in which they were named.
-    named: list[NamedVersion] = attrs.field(factory=list)
-    made: int = 0
+    # Weights versions in the order in which the operator named them.
+    named_versions: list[NamedVersion] = attrs.field(factory=list)
+    # Number of targets started so far.
+    targets_started: int = 0
     faults: ForwardFaults = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Build the platform and the processes."""
-        self.source = random.Random(f"forward-soak-{self.seed}")
+        """Set up the platform, and start targets, agents and routers."""
+        self.rng = random.Random(f"forward-soak-{self.seed}")
         self.world = World(
             clock=self.clock,
-            random=self.source,
+            random=self.rng,
             revoke_s=REVOKE_S,
             isolated=frozenset({ISOLATED}),
         )
-        self.processes = Processes(world=self.world, source=self.source)
+        self.processes = Processes(world=self.world, rng=self.rng)
         self.faults = ForwardFaults(soak=self)
         self.write_config()
         for number in range(ENGINES):
@@ -90,7 +93,7 @@
             self.processes.start_router(Node(name=f"r{number}"))
 
     def run(self) -> list[str]:
-        """Run, and return the violations found."""
+        """Run, and return the violations."""
         invariants.violations.clear()
         try:
             self.clock.advance_to(2.0)
@@ -102,40 +105,45 @@
             self.clock.advance_to(FAULTY_S + SETTLE_S)
             self.check_end()
         except invariants.InvariantError:
-            # Remembered by `invariants`.
+            # Already recorded in `invariants.violations`.
             pass
         return list(invariants.violations)
 
     @property
     def counts(self) -> dict[str, int]:
-        """What the run did."""
-        told = {
+        """Number of events of the run by name."""
+        caller_counts = {
             "forwarded": len(self.callers),
             "forward_served": sum(item.is_served for item in self.callers),
         }
-        return {**self.world.counts, **told}
+        return {**self.world.counts, **caller_counts}
 
     def repeat(self, rate: float, action: Callable[[], None]) -> None:
-        """Do something at random times for the whole run."""
+        """Call an action at random times for the whole run.
+
+        Args:
+          rate: Mean number of calls per second.
+          action: The function to call.
+        """
 
         def act() -> None:
             action()
-            self.clock.callLater(self.source.expovariate(rate), act)
+            self.clock.callLater(self.rng.expovariate(rate), act)
 
-        self.clock.callLater(self.source.expovariate(rate), act)
+        self.clock.callLater(self.rng.expovariate(rate), act)
 
     # The platform.
 
     def write_config(self) -> None:
-        """Write a configuration with the keys that hold now."""
-        self.revision += self.source.randrange(1, 4)
+        """Publish a configuration with the keys that are valid now."""
+        self.revision += self.rng.randrange(1, 4)
         accounts = {
             key: ForwardAccount(
                 name=KEYS[key],
                 token_digest=token_digest(key),
                 is_isolated=KEYS[key] == ISOLATED,
             )
-            for key in sorted(self.keys)
+            for key in sorted(self.valid_keys)
         }
         routes = {
             name: ForwardRoute(
@@ -167,32 +175,34 @@
         self.world.write("operator", "config", state)
 
     def name_weights(self) -> None:
-        """Name newer weights."""
-        version = self.named[-1].version + 1 if self.named else 2
+        """Publish the operator's next weights version."""
+        version = (
+            self.named_versions[-1].version + 1 if self.named_versions else 2
+        )
         now_s = self.clock.seconds()
-        self.named.append(NamedVersion(version=version, named_s=now_s))
-        self.world.write("operator", "weights/m", self.named[-1])
+        self.named_versions.append(NamedVersion(version=version, named_s=now_s))
+        self.world.write("operator", "weights/m", self.named_versions[-1])
 
     def add_target(self, name: str, pool: str, address: str) -> None:
         """Start a target and register it."""
-        self.made += 1
+        self.targets_started += 1
         entry = ForwardTarget(
             name=name,
             pool=pool,
             address=address,
-            born_ms=self.made,
+            born_ms=self.targets_started,
             slots=8,
-            versions={MODEL: self.newest} if pool == "llm" else {},
+            versions={MODEL: self.newest_version} if pool == "llm" else {},
         )
         self.world.targets[name] = ModelTarget(
-            world=self.world, entry=entry, version=self.newest
+            world=self.world, entry=entry, version=self.newest_version
         )
         self.world.write("targets", name, entry)
 
     @property
-    def newest(self) -> int:
-        """The newest weights."""
-        return self.named[-1].version if self.named else 1
+    def newest_version(self) -> int:
+        """The newest weights version that was published; 1 before that."""
+        return self.named_versions[-1].version if self.named_versions else 1
 
     # Callers.
 
@@ -203,8 +213,8 @@
         ]
         if not up:
             return
-        router = self.source.choice(up)
-        name = self.source.choice(("read", "book", "brief", "draft", "draft"))
+        router = self.rng.choice(up)
+        name = self.rng.choice(("read", "book", "brief", "draft", "draft"))
         request = self.make_request(name)
         caller = ForwardSoakCaller(
             request=request,
@@ -216,29 +226,33 @@
         self.callers.append(caller)
 
         def arrive() -> None:
-            made = router.forwarder.submit(request, caller)
-            if made is not None and self.source.random() < 0.05:
-                later_s = self.source.uniform(0.0, 0.5)
-                router.clock.callLater(later_s, self.leave, made, caller)
+            forwarding = router.forwarder.submit(request, caller)
+            if forwarding is not None and self.rng.random() < 0.05:
+                later_s = self.rng.uniform(0.0, 0.5)
+                router.clock.callLater(
+                    later_s, self.disconnect, forwarding, caller
+                )
 
         router.node.run(router.node.epoch, arrive)
 
-    def leave(self, made: Forwarding, caller: ForwardSoakCaller) -> None:
-        """Let a caller go away."""
-        if not made.is_finished:
-            made.caller_gone()
+    def disconnect(
+        self, forwarding: Forwarding, caller: ForwardSoakCaller
+    ) -> None:
+        """Simulate the disconnect of a caller that has no answer yet."""
+        if not forwarding.is_finished:
+            forwarding.caller_gone()
             caller.is_broken = True
             caller.ended()
 
     def make_request(self, name: str) -> ForwardRequest:
-        """Return a request with a key of some account."""
+        """Return a request with a random key, which may be revoked."""
         number = len(self.callers)
-        shared = f"shared{self.source.randrange(4)}"
+        shared = f"shared{self.rng.randrange(4)}"
         prompt = Prompt(
             model=MODEL,
             tokens=3_000,
             max_tokens=200,
-            expected_tokens=self.source.choice((10, 150)),
+            expected_tokens=self.rng.choice((10, 150)),
             parts=(
                 PromptPart(id="root", tokens=1_000),
                 PromptPart(id=shared, tokens=1_500),
@@ -253,7 +267,7 @@
             target=f"/{name}/x".encode(),
             headers=[],
             body=b"",
-            key=self.source.choice(sorted(KEYS)),
+            key=self.rng.choice(sorted(KEYS)),
             arrived_s=self.clock.seconds(),
             deadline_s=KINDS[name].timeout_s,
             prompt=prompt if KINDS[name].is_stream else None,
@@ -262,41 +276,49 @@
     # Checks.
 
     def check_revisions(self) -> None:
-        """No process goes back to an older configuration."""
+        """Check that no router reverts to an older configuration."""
         for router in self.processes.routers.values():
             revision = router.board.state.revision
             invariants.revision_forward(router.revision, revision)
             router.revision = revision
 
     def check_end(self) -> None:
-        """Check what callers were told, and that all is well again."""
+        """Check the callers' answers, and that the system has recovered."""
         for caller in self.callers:
             caller.check(self.world.runs[caller.request.request_id])
             self.check_ended(caller)
         for target in self.world.targets.values():
-            is_current = target.version == self.newest
+            is_current = target.version == self.newest_version
             is_engine = target.is_up and target.entry.pool == "llm"
             invariants.check(
                 is_current or not is_engine,
                 "weights-arrive",
-                f"{target.entry.name} has {target.version} of {self.newest}",
+                f"target {target.entry.name} has version {target.version}, "
+                f"newest is {self.newest_version}",
             )
         since_s = FAULTY_S + SETTLE_S / 2
-        last = [
+        recent = [
             caller
             for caller in self.callers
             if since_s <= caller.request.arrived_s <= since_s + 3.0
-            and caller.request.key in self.keys
+            and caller.request.key in self.valid_keys
         ]
-        served = sum(item.is_served or item.is_broken for item in last)
+        served = sum(item.is_served or item.is_broken for item in recent)
         invariants.check(
-            served >= 0.95 * len(last), "recovers", f"{served} of {len(last)}"
+            served >= 0.95 * len(recent),
+            "recovers",
+            f"{served} of {len(recent)} requests were served after the faults",
         )
 
     def check_ended(self, caller: ForwardSoakCaller) -> None:
-        """A process that lives gives every request its end in time."""
+        """Check that a request ended in time.
+
+        Requests to a router that was killed or paused meanwhile are exempt.
+        """
         request, node = caller.request, caller.node
-        limit_s = request.arrived_s + caller.kind.timeout_s + LATE_S
+        limit_s = (
+            request.arrived_s + caller.kind.timeout_s + DEADLINE_TOLERANCE_S
+        )
         if limit_s > self.clock.seconds() or node.epoch != caller.epoch:
             return
         if self.faults.was_paused(node.name, request.arrived_s, limit_s):
@@ -304,7 +326,8 @@
         invariants.check(
             0.0 <= caller.ended_s <= limit_s,
             "final-answer",
-            f"{request.request_id} at {caller.ended_s}, due {limit_s}",
+            f"request {request.request_id} ended at {caller.ended_s}, "
+            f"due {limit_s}",
         )
 
 
--- a/sequoiawind/lab/forward_world.py
+++ b/sequoiawind/lab/forward_world.py
@@ -1,8 +1,9 @@
-"""The users' platform in memory, for the soak: store, targets and caches.
+"""In-memory model of the users' platform, for the soak of the forwarding.
 
-What the targets really do is kept here, and the promises that can be judged
-there are asserted: one run of what must not repeat, keys, cached parts, the
-memory of runs, and who gives orders.
+It models the store, the targets and their caches, and counts the runs of each
+request.  It checks the promises that show at the targets: revoked keys stop
+working, cached parts are used only for the weights and accounts they are for,
+a moved run resumes from its own memory, and one agent alone orders weights.
 """
 
 import random
@@ -41,57 +42,61 @@
 WORK_S: Final = 0.03
 EVENT_S: Final = 0.04
 LOAD_S: Final = 0.3
-LOST: Final = may_have_run(Reason.CONNECTION_LOST, "lost")
-AWAY: Final = not_run(Reason.LOG_UNAVAILABLE, "the store turned it away")
+LOST: Final = may_have_run(Reason.CONNECTION_LOST, "connection lost")
+STORE_REFUSED: Final = not_run(Reason.LOG_UNAVAILABLE, "refused by the store")
 
 
 @attrs.frozen(kw_only=True)
 class Origin:
-    """Who made a cached part, and of which weights."""
+    """Account and weights version for which a cached part was computed."""
 
     account: str
     version: int
 
 
 @attrs.define(kw_only=True)
-class Luck:
-    """Shares of what goes wrong, while a fault lasts."""
+class FaultRates:
+    """Probabilities of faults, raised for a while by fault injection."""
 
     lost: float = 0.0
     hung: float = 0.0
     failed: float = 0.0
     busy: float = 0.0
     late_orders: float = 0.0
-    stopped_moves: float = 0.1
+    failed_moves: float = 0.1
 
 
 @attrs.define(kw_only=True, eq=False)
 class World:
-    """All that is shared."""
+    """The platform that all processes of a run share."""
 
     clock: VirtualClock
     random: random.Random
     revoke_s: float
     isolated: frozenset[str]
-    luck: Luck = attrs.field(factory=Luck)
+    fault_rates: FaultRates = attrs.field(factory=FaultRates)
     targets: dict[str, "ModelTarget"] = attrs.field(factory=dict)
-    # Records by topic, and the nodes that the store turns away.
+    # Records by topic, and the names of the nodes that the store refuses.
     topics: dict[str, list[KeyedRecord]] = attrs.field(factory=dict)
-    turned_away: set[str] = attrs.field(factory=set)
-    forgets: bool = False
-    # Objects that records stand for.
+    refused_nodes: set[str] = attrs.field(factory=set)
+    # Whether reads fail as if the records had been deleted.
+    has_lost_records: bool = False
+    # Values of all records; a record holds the index of its value.
     objects: list[object] = attrs.field(factory=list)
+    # Runs by request id.
     runs: Counter[str] = attrs.field(factory=Counter)
+    # Time of revocation by key.
     revoked_s: dict[str, float] = attrs.field(factory=dict)
-    kept: dict[tuple[str, str], Origin] = attrs.field(factory=dict)
+    # Parts that the keeper holds, by salt and part id.
+    keeper_parts: dict[tuple[str, str], Origin] = attrs.field(factory=dict)
     counts: Counter[str] = attrs.field(factory=Counter)
 
-    def happens(self, share: float) -> bool:
-        """Draw whether something goes wrong."""
-        return self.random.random() < share
+    def happens(self, probability: float) -> bool:
+        """Draw whether an event of a probability happens."""
+        return self.random.random() < probability
 
     def write(self, topic: str, key: str, value: object | None) -> None:
-        """Write a record; None drops its key."""
+        """Append a record to a topic; a value of None deletes the key."""
         data = None
         if value is not None:
             self.objects.append(value)
@@ -99,8 +104,8 @@
         records = self.topics.setdefault(topic, [])
         records.append(KeyedRecord(key=key, value=data))
 
-    def at(self, address: str) -> "ModelTarget | None":
-        """Return the target that serves at an address now."""
+    def target_at(self, address: str) -> "ModelTarget | None":
+        """Return the target that serves at an address now; None if none."""
         found = [
             target
             for target in self.targets.values()
@@ -109,31 +114,33 @@
         return found[0] if found else None
 
     def check_key(self, request_id: str, key: str) -> None:
-        """A key that was taken away stops working in time."""
-        gone_s = self.revoked_s.get(key, float("inf"))
-        late_s = self.clock.seconds() - gone_s
+        """Check that a run's key was not revoked more than `revoke_s` ago."""
+        revocation_s = self.revoked_s.get(key, float("inf"))
+        late_s = self.clock.seconds() - revocation_s
         invariants.check(
-            late_s <= self.revoke_s, "keys", f"{request_id}, {late_s:.2f} s"
+            late_s <= self.revoke_s,
+            "keys",
+            f"request {request_id} ran {late_s:.2f} s after the revocation",
         )
 
     def check_part(self, origin: Origin, account: str, version: int) -> None:
-        """No cached part of other weights, or beyond an isolated account."""
+        """Check that a run may use a cached part: weights and isolation."""
         invariants.check(
             origin.version == version,
             "cache-version",
-            f"made of {origin.version}, used under {version}",
+            f"part of version {origin.version} used with version {version}",
         )
-        is_walled = {origin.account, account} & self.isolated
+        is_isolated = {origin.account, account} & self.isolated
         invariants.check(
-            origin.account == account or not is_walled,
+            origin.account == account or not is_isolated,
             "cache-account",
-            f"made for {origin.account}, used for {account}",
+            f"part of account {origin.account} used for account {account}",
         )
 
 
 @attrs.define(kw_only=True, eq=False)
 class StorePort:
-    """One process's way to the store."""
+    """Access of one process to the store; implements `RecordPort`."""
 
     world: World
     node: str
@@ -144,8 +151,8 @@
     ) -> Result[KeyedPage, ReadFailure]:
         """Return the newest record of each key."""
         await timing.sleep(self.clock, LATENCY_S)
-        if self.node in self.world.turned_away:
-            return Error(AWAY)
+        if self.node in self.world.refused_nodes:
+            return Error(STORE_REFUSED)
         records = self.world.topics.get(topic, [])
         newest = {record.key: record for record in records}
         kept = [item for item in newest.values() if item.value is not None]
@@ -154,13 +161,13 @@
     async def read(
         self, topic: str, start: int, wait_s: float, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        """Return the records from an offset on, waiting for a first one."""
+        """Return the records from an offset on; wait up to `wait_s` for one."""
         ends_s = self.clock.seconds() + wait_s
         while True:
             await timing.sleep(self.clock, STORE_POLL_S)
-            if self.node in self.world.turned_away:
-                return Error(AWAY)
-            if self.world.forgets:
+            if self.node in self.world.refused_nodes:
+                return Error(STORE_REFUSED)
+            if self.world.has_lost_records:
                 return Error(RecordsLost())
             records = self.world.topics.get(topic, [])
             if len(records) > start or self.clock.seconds() >= ends_s:
@@ -169,7 +176,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class ModelRun:
-    """A request at work; also the call by which its router cancels it."""
+    """One run of a request at a target; also its router's `Call`."""
 
     target: "ModelTarget"
     order: SendOrder
@@ -177,57 +184,59 @@
     node: Node
     epoch: int
     event: int = 0
-    is_over: bool = False
+    is_cancelled: bool = False
 
     def cancel(self) -> None:
-        """Stop; nothing more is delivered."""
-        self.is_over = True
+        """Stop the run; nothing more is delivered."""
+        self.is_cancelled = True
         self.target.runs.pop(self.order.request.request_id, None)
 
-    def tell(self, action: Callable[[], None]) -> None:
-        """Deliver something to the router."""
+    def send_back(self, action: Callable[[], None]) -> None:
+        """Run a callback in the router's process, unless cancelled."""
 
-        def deliver() -> None:
-            if not self.is_over:
+        def act() -> None:
+            if not self.is_cancelled:
                 action()
 
         clock = self.target.world.clock
-        clock.callLater(LATENCY_S, self.node.run, self.epoch, deliver)
+        clock.callLater(LATENCY_S, self.node.run, self.epoch, act)
 
     def end(self, action: Callable[[], None]) -> None:
-        """Deliver the end of the answer."""
+        """Remove the run and deliver the end of its answer."""
         self.target.runs.pop(self.order.request.request_id, None)
-        self.tell(action)
+        self.send_back(action)
 
     def refuse(self, reason: Reason) -> None:
-        """Tell that the request was not run."""
+        """Answer that the request was not run."""
         head = AnswerHead(status=503, headers=[], refusal=not_run(reason))
-        self.tell(lambda: self.sink.head(head))
+        self.send_back(lambda: self.sink.head(head))
         self.end(self.sink.done)
 
-    def go_on(self) -> None:
-        """Make the next event, or end."""
-        if self.is_over or not self.target.is_up:
+    def produce_event(self) -> None:
+        """Send the next event of the answer, or its end."""
+        if self.is_cancelled or not self.target.is_up:
             return
         request_id = self.order.request.request_id
         if request_id not in self.target.runs:
             return
-        if self.event >= events_of(request_id):
+        if self.event >= event_count(request_id):
             self.end(self.sink.done)
             return
         self.event += 1
         data = event_bytes(request_id, self.event)
-        self.tell(lambda: self.sink.data(data))
-        if self.target.world.happens(self.target.world.luck.lost / 10):
+        self.send_back(lambda: self.sink.data(data))
+        if self.target.world.happens(self.target.world.fault_rates.lost / 10):
             self.end(lambda: self.sink.failed(LOST))
             return
-        if not self.target.world.happens(self.target.world.luck.hung / 10):
-            self.target.world.clock.callLater(EVENT_S, self.go_on)
+        if not self.target.world.happens(
+            self.target.world.fault_rates.hung / 10
+        ):
+            self.target.world.clock.callLater(EVENT_S, self.produce_event)
 
 
 @attrs.define(kw_only=True, eq=False)
 class ModelTarget:
-    """One incarnation of a target; also what its agent asks."""
+    """One incarnation of a target; also the `TargetPort` of agents."""
 
     world: World
     entry: ForwardTarget
@@ -237,30 +246,34 @@
     orders: int = 0
     runs: dict[str, ModelRun] = attrs.field(factory=dict)
     cache: dict[tuple[str, str], Origin] = attrs.field(factory=dict)
-    # Request id and weights version of the runs whose memory was copied here.
+    # Request id and weights version of the runs whose memory was copied here,
+    # by handle.
     memories: dict[str, tuple[str, int]] = attrs.field(factory=dict)
+    # Agents whose orders this incarnation has accepted.
     holders: set[str] = attrs.field(factory=set)
 
     def arrive(self, run: ModelRun) -> None:
-        """Take a request, or refuse it."""
+        """Start a request that has arrived, or refuse it."""
         order = run.order
-        if not self.is_up or run.is_over:
-            run.tell(
-                lambda: run.sink.failed(not_run(Reason.CONNECT_FAILED, "gone"))
+        if not self.is_up or run.is_cancelled:
+            run.send_back(
+                lambda: run.sink.failed(
+                    not_run(Reason.CONNECT_FAILED, "target is down")
+                )
             )
         elif order.target.name != self.entry.name:
             run.refuse(Reason.TARGET_REPLACED)
-        elif self.is_loading or self.world.happens(self.world.luck.busy):
+        elif self.is_loading or self.world.happens(self.world.fault_rates.busy):
             run.refuse(Reason.TARGET_BUSY)
         elif order.version not in (None, self.version):
             run.refuse(Reason.TARGET_REPLACED)
-        elif order.moved_from and not self.has_memory(order):
+        elif order.moved_from and not self.take_memory(order):
             run.refuse(Reason.TARGET_BUSY)
         else:
             self.start(run)
 
-    def has_memory(self, order: SendOrder) -> bool:
-        """Whether the memory of a moved run is here; it is used once."""
+    def take_memory(self, order: SendOrder) -> bool:
+        """Remove the memory of a moved run; return whether it was here."""
         memory = self.memories.pop(order.moved_from, None)
         if memory is None:
             return False
@@ -270,12 +283,12 @@
             and version == self.version
             and order.after_event is not None,
             "own-memory",
-            f"{order.request.request_id} goes on from {memory}",
+            f"{order.request.request_id} resumed from memory of {memory}",
         )
         return True
 
     def start(self, run: ModelRun) -> None:
-        """Run a request."""
+        """Start a run."""
         order, world = run.order, self.world
         request = order.request
         self.runs[request.request_id] = run
@@ -286,26 +299,26 @@
             world.clock.callLater(WORK_S, self.answer_call, run)
             return
         if not order.moved_from:
-            self.read(order)
+            self.read_prompt(order)
         run.event = order.after_event or 0
         head = AnswerHead(status=200, headers=[])
-        run.tell(lambda: run.sink.head(head))
-        if not world.happens(world.luck.hung):
-            world.clock.callLater(WORK_S, run.go_on)
+        run.send_back(lambda: run.sink.head(head))
+        if not world.happens(world.fault_rates.hung):
+            world.clock.callLater(WORK_S, run.produce_event)
 
-    def read(self, order: SendOrder) -> None:
-        """Read a prompt, with what is cached here and where it may fetch."""
+    def read_prompt(self, order: SendOrder) -> None:
+        """Read a prompt, using parts cached here, at a source or keeper."""
         prompt, world = order.request.prompt, self.world
         if prompt is None:
             return
-        source = world.at(order.source)
+        source = world.target_at(order.source)
         for part in prompt.parts:
             key = (order.salt, part.id)
             origin = self.cache.get(key)
             if origin is None and source is not None:
                 origin = source.cache.get(key)
             if origin is None and order.source == KEEPER:
-                origin = world.kept.get(key)
+                origin = world.keeper_parts.get(key)
             if origin is None:
                 origin = Origin(account=order.account, version=self.version)
             else:
@@ -313,55 +326,55 @@
             world.check_part(origin, order.account, self.version)
             self.cache[key] = origin
             if order.keeper:
-                world.kept.setdefault(key, origin)
+                world.keeper_parts.setdefault(key, origin)
 
     def answer_call(self, run: ModelRun) -> None:
         """Answer a call to a plain service."""
-        world, luck = self.world, self.world.luck
-        if run.is_over or not self.is_up or world.happens(luck.hung):
+        world, rates = self.world, self.world.fault_rates
+        if run.is_cancelled or not self.is_up or world.happens(rates.hung):
             return
-        if world.happens(luck.lost):
+        if world.happens(rates.lost):
             run.end(lambda: run.sink.failed(LOST))
             return
-        status = 500 if world.happens(luck.failed) else 200
+        status = 500 if world.happens(rates.failed) else 200
         head = AnswerHead(status=status, headers=[])
         body = run.order.request.request_id.encode()
-        run.tell(lambda: run.sink.head(head))
-        run.tell(lambda: run.sink.data(body))
+        run.send_back(lambda: run.sink.head(head))
+        run.send_back(lambda: run.sink.data(body))
         run.end(run.sink.done)
 
     def crash(self) -> None:
-        """End; connections break."""
+        """End the target and break its connections."""
         self.is_up = False
         for run in list(self.runs.values()):
             run.end(lambda run=run: run.sink.failed(LOST))  # type: ignore[misc]
 
     def move(self, order: MoveOrder) -> Result[str, Failure]:
-        """Stop a run and copy its memory."""
+        """Stop a run and copy its memory to another target."""
         world = self.world
         run = self.runs.get(order.request_id)
         if run is None or not self.is_up:
             return Error(may_have_run(Reason.TARGET_ERROR, "no such run"))
         run.end(lambda: run.sink.failed(LOST))
-        goal = world.at(order.goal.address)
-        is_stopped = world.happens(world.luck.stopped_moves)
-        if goal is None or is_stopped:
-            return Error(may_have_run(Reason.TARGET_ERROR, "no room"))
+        goal = world.target_at(order.goal.address)
+        is_failed = world.happens(world.fault_rates.failed_moves)
+        if goal is None or is_failed:
+            return Error(may_have_run(Reason.TARGET_ERROR, "copying failed"))
         handle = f"{self.entry.address}/{len(goal.memories)}-{order.request_id}"
         goal.memories[handle] = (order.request_id, self.version)
         world.counts["runs moved"] += 1
         return Ok(handle)
 
-    # What the agent asks.
+    # Calls by agents.
 
     async def report(
         self, address: str, timeout_s: float
     ) -> Result[TargetReport, Failure]:
         """Return the report of the target that serves at an address now."""
-        now = self.world.at(address)
-        if now is None:
-            return Error(not_run(Reason.CONNECT_FAILED, "gone"))
-        return Ok(now.make_report())
+        current = self.world.target_at(address)
+        if current is None:
+            return Error(not_run(Reason.CONNECT_FAILED, "no target is up"))
+        return Ok(current.make_report())
 
     def make_report(self) -> TargetReport:
         """Return the target's report on itself."""
@@ -381,17 +394,17 @@
         self, address: str, target: str, order: LoadOrder, timeout_s: float
     ) -> Result[OrderOutcome, Failure]:
         """Order the target at an address to load weights."""
-        now, world = self.world.at(address), self.world
-        if now is None or now.entry.name != target:
-            return Error(not_run(Reason.TARGET_REPLACED, "another"))
-        if world.happens(world.luck.late_orders):
-            later_s = world.random.uniform(0.5, 6.0)
-            world.clock.callLater(later_s, now.take_order, order)
-            return Error(may_have_run(Reason.START_TIMEOUT, "late"))
-        return Ok(now.take_order(order))
+        current, world = self.world.target_at(address), self.world
+        if current is None or current.entry.name != target:
+            return Error(not_run(Reason.TARGET_REPLACED, "target replaced"))
+        if world.happens(world.fault_rates.late_orders):
+            delay_s = world.random.uniform(0.5, 6.0)
+            world.clock.callLater(delay_s, current.take_order, order)
+            return Error(may_have_run(Reason.START_TIMEOUT, "order delayed"))
+        return Ok(current.take_order(order))
 
     def take_order(self, order: LoadOrder) -> OrderOutcome:
-        """Carry an order out if its condition holds."""
+        """Start to load the weights, or refuse the order."""
         if not self.is_up or self.is_loading:
             return OrderOutcome.REFUSED
         if order.after_orders != self.orders:
@@ -403,7 +416,7 @@
         invariants.check(
             order.version > self.version,
             "weights-forward",
-            f"{order.version} ordered after {self.version}",
+            f"version {order.version} ordered while {self.version} is loaded",
         )
         self.orders += 1
         self.is_loading = True
@@ -411,7 +424,7 @@
         return OrderOutcome.ACCEPTED
 
     def finish_load(self, version: int) -> None:
-        """Load once the runs have ended."""
+        """Load a version as soon as all runs have ended."""
         if not self.is_up:
             return
         if self.runs:
@@ -429,24 +442,24 @@
 
 @attrs.define(kw_only=True, eq=False)
 class TargetPorts:
-    """One router's way to targets; implements `ForwardPort`, `CachePort`."""
+    """Access of one router to targets: its `ForwardPort` and `CachePort`."""
 
     world: World
     node: Node
 
     def send(self, order: SendOrder, sink: AttemptSink) -> ModelRun:
-        """Send a request to whoever serves at the target's address."""
+        """Send a request to the target that serves at the address now."""
         world = self.world
-        target = world.at(order.target.address)
-        known = target or world.targets[order.target.name]
+        target = world.target_at(order.target.address)
+        receiver = target or world.targets[order.target.name]
         run = ModelRun(
-            target=known,
+            target=receiver,
             order=order,
             sink=sink,
             node=self.node,
             epoch=self.node.epoch,
         )
-        world.clock.callLater(LATENCY_S, known.arrive, run)
+        world.clock.callLater(LATENCY_S, receiver.arrive, run)
         return run
 
     async def move(
@@ -457,20 +470,20 @@
         return self.world.targets[order.source.name].move(order)
 
     def drop_move(self, moved_from: str) -> None:
-        """Free the memory of a run that nobody goes on with."""
+        """Free the copied memory of a run that is not resumed."""
         for target in self.world.targets.values():
             target.memories.pop(moved_from, None)
 
     async def cache_news(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheNews, Failure]:
-        """Tell that there are watchers enough."""
+        """Refuse, as a target that has too many watchers does."""
         await timing.sleep(self.world.clock, LATENCY_S)
         return Error(not_run(Reason.TARGET_BUSY))
 
 
-def events_of(request_id: str) -> int:
-    """Return how many events the answer to a request has."""
+def event_count(request_id: str) -> int:
+    """Return the number of events in the answer to a request."""
     return 3 + sum(request_id.encode()) % 40
 
 
