--- a/sequoiawind/lab/virtual_clock.py
+++ b/sequoiawind/lab/virtual_clock.py
@@ -1,7 +1,8 @@
 """A virtual clock for long runs.
 
-It does what ``twisted.internet.task.Clock`` does, with a heap: that clock
-sorts all its calls at each change, which took nine tenths of a run's time.
+It replaces ``twisted.internet.task.Clock`` and keeps the scheduled calls in a
+heap: that clock sorts all its calls at each change, which took nine tenths of
+a run's time.
 """
 
 import heapq
@@ -13,14 +14,14 @@
 
 @attrs.define(kw_only=True, eq=False)
 class VirtualTimer:
-    """A call to come."""
+    """A scheduled call."""
 
     time_s: float
     call: Callable[[], object]
     is_active: bool = True
 
     def active(self) -> bool:
-        """Whether the call is still to come."""
+        """Whether the call is still pending."""
         return self.is_active
 
     def cancel(self) -> None:
@@ -30,11 +31,11 @@
 
 @attrs.define(kw_only=True)
 class VirtualClock:
-    """Time that passes only when a run advances it."""
+    """A clock whose time changes only in `advance_to`."""
 
     now_s: float = 0.0
     heap: list[tuple[float, int, VirtualTimer]] = attrs.field(factory=list)
-    # Keeps calls of one time in the order in which they were made.
+    # Keeps calls due at the same time in the order of their scheduling.
     sequence: Iterator[int] = attrs.field(factory=itertools.count)
 
     def seconds(self) -> float:
@@ -57,7 +58,7 @@
         return timer
 
     def advance_to(self, until_s: float) -> None:
-        """Make all calls due by a time, each at its own time."""
+        """Run all calls due up to a time in seconds, each at its due time."""
         while self.heap and self.heap[0][0] <= until_s:
             time_s, _, timer = heapq.heappop(self.heap)
             if not timer.is_active:
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,4 +1,4 @@
-"""Transports in memory for the HTTP/1.1 code."""
+"""In-memory transports for tests of the HTTP/1.1 code."""
 
 from typing import Any
 
@@ -7,14 +7,14 @@
 
 
 class FakeSocket:
-    """Takes socket options and forgets them."""
+    """A socket that ignores the options set on it."""
 
     def setsockopt(self, *options: int) -> None:
-        """Forget an option."""
+        """Ignore an option."""
 
 
 class FakeTransport(StringTransport):
-    """A transport that the code may treat as TCP."""
+    """A transport with the TCP methods that the code calls."""
 
     is_aborted = False
 
@@ -29,7 +29,7 @@
         return FakeSocket()
 
     def abortConnection(self) -> None:
-        """Note the abort."""
+        """Record the abort."""
         self.is_aborted = True
         self.disconnecting = True
 
@@ -42,14 +42,14 @@
     transport: FakeTransport
 
     def sent(self) -> bytes:
-        """Return what has arrived since the last call."""
+        """Return the bytes that the code has sent since the last call."""
         data: bytes = self.transport.value()
         self.transport.clear()
         return data
 
 
 def accept(reactor: MemoryReactorClock) -> Peer:
-    """Accept the connection that the code has opened last."""
+    """Accept the connection that the code opened last."""
     factory = reactor.tcpClients[-1][2]
     protocol = factory.buildProtocol(None)
     transport = FakeTransport()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeds of the soak run."""
+"""A few seeds of both soak runs, and one mutant."""
 
 from testtools import TestCase
 
@@ -24,7 +24,7 @@
         self.assertTrue(moved > 10, moved)
 
     def test_forwarding_mutant_is_found(self) -> None:
-        # All of them: `make mutants`.
+        # `make mutants` runs all mutants.
         (salts,) = [
             mutant
             for mutant in forward_mutants.MUTANTS
