--- a/sequoiawind/lab/forward_faults.py
+++ b/sequoiawind/lab/forward_faults.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from sequoiawind.lab.forward_world import FaultRates, ModelTarget
+from sequoiawind.lab.forward_world import FaultRates, SimulatedTarget
 
 if TYPE_CHECKING:
     from sequoiawind.lab.forward_soak import ForwardSoak
@@ -45,7 +45,7 @@
 
     # Targets.
 
-    def random_target(self) -> ModelTarget:
+    def random_target(self) -> SimulatedTarget:
         """Return a random target that is up."""
         up = [item for item in self.soak.world.targets.values() if item.is_up]
         return self.soak.rng.choice(up)
@@ -63,12 +63,12 @@
         if name != target.entry.name:
             self.soak.clock.callLater(ENTRY_EXPIRY_S, self.expire_entry, target)
 
-    def restart_target(self, target: ModelTarget, name: str) -> None:
+    def restart_target(self, target: SimulatedTarget, name: str) -> None:
         """Start a target with a name, in place of one that has ended."""
         entry = target.entry
         self.soak.add_target(name, entry.pool, entry.address)
 
-    def expire_entry(self, target: ModelTarget) -> None:
+    def expire_entry(self, target: SimulatedTarget) -> None:
         """Delete the store entry of a target that has ended."""
         self.soak.world.write("targets", target.entry.name, None)
 
@@ -81,7 +81,7 @@
             self.random_delay_s(2.5, 4.0), self.end_drain, target
         )
 
-    def end_drain(self, target: ModelTarget) -> None:
+    def end_drain(self, target: SimulatedTarget) -> None:
         """End a target that has drained, and replace it."""
         if not target.is_up:
             return
--- a/sequoiawind/lab/forward_nodes.py
+++ b/sequoiawind/lab/forward_nodes.py
@@ -44,7 +44,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class ModelAgents:
+class MemoryAgentClient:
     """In-memory `AgentClient` of one process, a router or an agent."""
 
     processes: "Processes"
@@ -176,7 +176,7 @@
             forwarder=forwarder,
         )
         self.routers[node.name] = router
-        agents = ModelAgents(processes=self, node=node, clock=clock)
+        agents = MemoryAgentClient(processes=self, node=node, clock=clock)
         watcher = StatusWatcher(
             fleet=fleet,
             agents=cast(AgentClient, agents),
@@ -224,7 +224,7 @@
             fleet=fleet,
             log=self.log,
             weights_s=WEIGHTS_S,
-            peers=ModelAgents(processes=self, node=node, clock=clock),
+            peers=MemoryAgentClient(processes=self, node=node, clock=clock),
         )
         self.agents[address] = SoakAgent(node=node, agent=agent)
         operator = OperatorReader(
--- a/sequoiawind/lab/forward_soak.py
+++ b/sequoiawind/lab/forward_soak.py
@@ -32,7 +32,7 @@
 from sequoiawind.lab.forward_world import (
     KEEPER,
     MODEL,
-    ModelTarget,
+    SimulatedTarget,
     World,
 )
 from sequoiawind.lab.memory_network import Node
@@ -194,7 +194,7 @@
             slots=8,
             versions={MODEL: self.newest_version} if pool == "llm" else {},
         )
-        self.world.targets[name] = ModelTarget(
+        self.world.targets[name] = SimulatedTarget(
             world=self.world, entry=entry, version=self.newest_version
         )
         self.world.write("targets", name, entry)
@@ -307,7 +307,7 @@
         invariants.check(
             served >= 0.95 * len(recent),
             "recovers",
-            f"{served} of {len(recent)} requests were served after the faults",
+            f"{served} of {len(recent)} requests served or broken off",
         )
 
     def check_ended(self, caller: ForwardSoakCaller) -> None:
--- a/sequoiawind/lab/forward_world.py
+++ b/sequoiawind/lab/forward_world.py
@@ -75,7 +75,7 @@
     revoke_s: float
     isolated: frozenset[str]
     fault_rates: FaultRates = attrs.field(factory=FaultRates)
-    targets: dict[str, "ModelTarget"] = attrs.field(factory=dict)
+    targets: dict[str, "SimulatedTarget"] = attrs.field(factory=dict)
     # Records by topic, and the names of the nodes that the store refuses.
     topics: dict[str, list[KeyedRecord]] = attrs.field(factory=dict)
     refused_nodes: set[str] = attrs.field(factory=set)
@@ -104,7 +104,7 @@
         records = self.topics.setdefault(topic, [])
         records.append(KeyedRecord(key=key, value=data))
 
-    def target_at(self, address: str) -> "ModelTarget | None":
+    def target_at(self, address: str) -> "SimulatedTarget | None":
         """Return the target that serves at an address now; None if none."""
         found = [
             target
@@ -175,10 +175,10 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class ModelRun:
+class SimulatedRun:
     """One run of a request at a target; also its router's `Call`."""
 
-    target: "ModelTarget"
+    target: "SimulatedTarget"
     order: SendOrder
     sink: AttemptSink
     node: Node
@@ -235,7 +235,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class ModelTarget:
+class SimulatedTarget:
     """One incarnation of a target; also the `TargetPort` of agents."""
 
     world: World
@@ -244,7 +244,7 @@
     is_up: bool = True
     is_loading: bool = False
     orders: int = 0
-    runs: dict[str, ModelRun] = attrs.field(factory=dict)
+    runs: dict[str, SimulatedRun] = attrs.field(factory=dict)
     cache: dict[tuple[str, str], Origin] = attrs.field(factory=dict)
     # Request id and weights version of the runs whose memory was copied here,
     # by handle.
@@ -252,7 +252,7 @@
     # Agents whose orders this incarnation has accepted.
     holders: set[str] = attrs.field(factory=set)
 
-    def arrive(self, run: ModelRun) -> None:
+    def arrive(self, run: SimulatedRun) -> None:
         """Start a request that has arrived, or refuse it."""
         order = run.order
         if not self.is_up or run.is_cancelled:
@@ -287,7 +287,7 @@
         )
         return True
 
-    def start(self, run: ModelRun) -> None:
+    def start(self, run: SimulatedRun) -> None:
         """Start a run."""
         order, world = run.order, self.world
         request = order.request
@@ -328,7 +328,7 @@
             if order.keeper:
                 world.keeper_parts.setdefault(key, origin)
 
-    def answer_call(self, run: ModelRun) -> None:
+    def answer_call(self, run: SimulatedRun) -> None:
         """Answer a call to a plain service."""
         world, rates = self.world, self.world.fault_rates
         if run.is_cancelled or not self.is_up or world.happens(rates.hung):
@@ -447,12 +447,12 @@
     world: World
     node: Node
 
-    def send(self, order: SendOrder, sink: AttemptSink) -> ModelRun:
+    def send(self, order: SendOrder, sink: AttemptSink) -> SimulatedRun:
         """Send a request to the target that serves at the address now."""
         world = self.world
         target = world.target_at(order.target.address)
         receiver = target or world.targets[order.target.name]
-        run = ModelRun(
+        run = SimulatedRun(
             target=receiver,
             order=order,
             sink=sink,
--- a/sequoiawind/lab/soak.py
+++ b/sequoiawind/lab/soak.py
@@ -148,7 +148,7 @@
         return invariants.violations + self.errors
 
     def observe(self, event: Any) -> None:
-        """Record the failure that a log event carries, if any."""
+        """Record a failure that was logged because nothing handled it."""
         failure = event.get("log_failure")
         if failure is not None:
             self.errors.append(f"unhandled: {failure.getErrorMessage()}")
@@ -212,7 +212,7 @@
         )
 
     def send_booking(self) -> None:
-        """Send a booking, sometimes in several copies at the same time."""
+        """Send a booking, sometimes as concurrent copies to several routers."""
         key = keys.make_key(self.rig.wall(), self.rng.getrandbits(74))
         token = self.rng.choice(ACCOUNTS)
         copies = self.rng.choice((1, 1, 1, 2, 3))
