--- a/sequoiawind/lab/engine_model.py
+++ b/sequoiawind/lab/engine_model.py
@@ -1,10 +1,10 @@
-"""A model of a model engine: the stand-in that routing is measured against.
+"""A simulated inference engine: the stand-in that routing is measured against.
 
-Continuous batching with chunked prefill: each step computes a bounded number
-of prompt tokens and one token of every sequence in decode.  Prompt blocks are
-cached in limited memory and evicted least recently used first.  The model
-runs on any clock.  It asserts that no cached block of another salt (account,
-model, adapter and weights version) is used.
+It simulates continuous batching with chunked prefill: each step computes a
+bounded number of prompt tokens and one token of every sequence in decode.
+Prompt blocks are cached in limited memory and evicted least recently used
+first.  The model runs on any clock.  It asserts that no cached block of
+another salt (account, model, adapter and weights version) is used.
 """
 
 import random
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class EngineParameters:
-    """Speeds and sizes of an engine."""
+    """Step times, sizes and simulated faults of an engine."""
 
     cache_blocks: int = 3000
     block_bytes: int = defaults.ENGINE_BLOCK_BYTES
@@ -40,7 +40,7 @@
     prefill_per_step: int = 384
     max_batch: int = 32
     event_lag_s: float = 0.1
-    # Share of cache events lost.
+    # Share of cache events that are lost.
     event_loss: float = 0.0
     events_kept: int = 2000
     load_time_s: float = 5.0
@@ -52,7 +52,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeptBlock:
-    """A cached block that an engine has exported."""
+    """A cached block as exported by an engine."""
 
     block: int
     salt: str
@@ -79,7 +79,7 @@
 
 @attrs.define(kw_only=True)
 class EngineCall:
-    """Lets the caller cancel a generation."""
+    """A sequence in progress; lets the caller cancel it."""
 
     engine: "EngineModel"
     generation: Generation
@@ -91,7 +91,7 @@
 
 @attrs.define(kw_only=True)
 class NoCall:
-    """A call that has ended already."""
+    """A call that has already ended; cancelling it has no effect."""
 
     def cancel(self) -> None:
         """Do nothing."""
@@ -99,7 +99,7 @@
 
 @attrs.define(kw_only=True)
 class EngineModel:
-    """An engine; implements the target side of `TargetPort`."""
+    """A simulated engine; implements the target side of `TargetPort`."""
 
     name: str
     clock: Clock
@@ -124,10 +124,10 @@
     is_stepping: bool = False
     events: list[tuple[float, CacheEvent]] = attrs.field(factory=list)
     next_sequence: int = 0
-    # Waiting and running sequences as last reported, and when.
-    counts: tuple[int, int] = (0, 0)
-    counted_s: float = -1.0
-    # Totals, for measurements.
+    # Waiting and running sequences as last reported, and when in seconds.
+    reported_counts: tuple[int, int] = (0, 0)
+    reported_s: float = -1.0
+    # Totals over all incarnations, for measurements.
     prompt_tokens: int = 0
     computed_tokens: int = 0
     generated_tokens: int = 0
@@ -136,11 +136,11 @@
 
     @property
     def incarnation(self) -> str:
-        """Changes with every restart."""
+        """Identifies this run of the engine; changes with every restart."""
         return f"{self.name}#{self.starts}"
 
     def open(self, address: str, attempt: Attempt, sink: Sink) -> Call:
-        """Start a sequence."""
+        """Queue a sequence, or refuse it if the engine cannot serve it."""
         if self.is_down:
             refusal = not_run(Reason.CONNECT_FAILED, messages.CONNECT_FAILED)
             sink.ended(Ended(failure=refusal))
@@ -153,11 +153,11 @@
         self.waiting.append(generation)
         self.waiting.sort(key=lambda item: -item.attempt.priority)
         sink.started(self.load())
-        self.wake()
+        self.start_step()
         return EngineCall(engine=self, generation=generation)
 
     def make_generation(self, attempt: Attempt, sink: Sink) -> Generation:
-        """Return the sequence of an attempt."""
+        """Return the sequence for an attempt, before its cache lookup."""
         text = (attempt.prompt + attempt.partial).encode()
         chain = prefix.chain(
             attempt.cache_salt,
@@ -178,28 +178,28 @@
         )
 
     def load(self) -> LoadReport:
-        """Return the engine's own load report; its counts lag."""
+        """Return the load report; its counts are up to `load_lag_s` old."""
         now_s = self.clock.seconds()
-        if now_s - self.counted_s >= self.parameters.load_lag_s:
-            self.counted_s = now_s
-            self.counts = (len(self.waiting), len(self.batch))
+        if now_s - self.reported_s >= self.parameters.load_lag_s:
+            self.reported_s = now_s
+            self.reported_counts = (len(self.waiting), len(self.batch))
         return LoadReport(
             target=self.name,
             incarnation=self.incarnation,
-            queued=self.counts[0],
-            running=self.counts[1],
+            queued=self.reported_counts[0],
+            running=self.reported_counts[1],
             version=self.version,
         )
 
     def cancel(self, generation: Generation) -> None:
-        """Drop a sequence."""
+        """Remove a sequence; nothing more is sent to its sink."""
         if generation in self.waiting:
             self.waiting.remove(generation)
         if generation in self.batch:
             self.batch.remove(generation)
 
-    def wake(self) -> None:
-        """Start stepping if there is work."""
+    def start_step(self) -> None:
+        """Start a step if there is work and no step is running."""
         if self.is_stepping or not (self.waiting or self.batch):
             return
         self.is_stepping = True
@@ -210,14 +210,14 @@
         self.clock.callLater(step_s, self.finish_step, plan, self.starts)
 
     def fill_batch(self) -> None:
-        """Move waiting sequences into the batch."""
+        """Move waiting sequences into the batch, up to `max_batch`."""
         while self.waiting and len(self.batch) < self.parameters.max_batch:
             generation = self.waiting.pop(0)
-            self.look_up(generation)
+            self.look_up_prefix(generation)
             self.batch.append(generation)
 
-    def look_up(self, generation: Generation) -> None:
-        """Find a sequence's cached prefix."""
+    def look_up_prefix(self, generation: Generation) -> None:
+        """Set how much of a sequence's prompt is cached and left to compute."""
         hits = 0
         for block in generation.chain:
             salt = self.cache.get(block)
@@ -226,7 +226,7 @@
             invariants.block_usable(salt, generation.block_salt, block)
             self.cache.move_to_end(block)
             hits += 1
-        # The last token is always computed, to yield the first new one.
+        # The last prompt token is always computed: it yields the first new one.
         cached = hits * self.parameters.block_bytes // defaults.BYTES_PER_TOKEN
         cached = min(cached, generation.prompt_tokens - 1)
         generation.hit_blocks = hits
@@ -245,7 +245,7 @@
         return plan
 
     def step_time_s(self, prefill_tokens: int) -> float:
-        """Return how long a step takes."""
+        """Return how long a step takes, in seconds."""
         decoding = sum(1 for item in self.batch if item.prefill_left == 0)
         return (
             self.parameters.step_base_s
@@ -254,7 +254,7 @@
         )
 
     def finish_step(self, plan: list[int], starts: int) -> None:
-        """Yield the tokens of a step and begin the next."""
+        """Apply a finished step to the batch and start the next one."""
         if starts != self.starts:
             return
         self.is_stepping = False
@@ -262,10 +262,10 @@
             if generation not in self.batch:
                 continue
             self.advance(generation, tokens)
-        self.wake()
+        self.start_step()
 
     def advance(self, generation: Generation, tokens: int) -> None:
-        """Advance one sequence by one step."""
+        """Advance a sequence by one step: compute prompt or emit a token."""
         if generation.prefill_left > 0:
             generation.prefill_left -= tokens
             if generation.prefill_left > 0:
@@ -274,7 +274,7 @@
         self.emit_token(generation)
 
     def emit_token(self, generation: Generation) -> None:
-        """Yield one token, and the end after the last one."""
+        """Send one token, and finish the sequence after its last one."""
         attempt = generation.attempt
         index = generation.next_index
         if index < attempt.max_tokens:
@@ -289,7 +289,7 @@
             self.finish(generation)
 
     def finish(self, generation: Generation) -> None:
-        """Yield the last chunks and end the sequence."""
+        """Send the final chunks and the usage, and end the sequence."""
         if generation not in self.batch:
             return
         self.batch.remove(generation)
@@ -314,8 +314,8 @@
         sink.ended(Ended(usage=usage, load=self.load()))
 
     def export_blocks(self, chain: Sequence[int]) -> list[KeptBlock]:
-        """Return the cached blocks of a chain, to be kept elsewhere."""
-        kept = [
+        """Return the cached blocks of a chain, for storage elsewhere."""
+        exported = [
             KeptBlock(
                 block=block,
                 salt=self.cache[block],
@@ -326,29 +326,29 @@
             for block in chain
             if block in self.cache
         ]
-        self.add_transfer(len(kept))
-        return kept
+        self.add_transfer(len(exported))
+        return exported
 
-    def import_blocks(self, kept: Sequence[KeptBlock]) -> int:
-        """Cache blocks that were kept; those of other weights are refused.
+    def import_blocks(self, exported: Sequence[KeptBlock]) -> int:
+        """Cache exported blocks, except those of another weights version.
 
         Returns:
-          The number of blocks taken.
+          The number of blocks imported.
         """
-        taken = [item for item in kept if item.version == self.version]
-        for item in taken:
+        usable = [item for item in exported if item.version == self.version]
+        for item in usable:
             self.store([item.block], item.salt)
-        self.add_transfer(len(taken))
-        return len(taken)
+        self.add_transfer(len(usable))
+        return len(usable)
 
     def add_transfer(self, blocks: int) -> None:
-        """Let a transfer of blocks slow the next step."""
+        """Add the time to transfer a number of blocks to the next step."""
         tokens = blocks * self.parameters.block_bytes
         tokens //= defaults.BYTES_PER_TOKEN
         self.transfer_s += tokens * self.parameters.transfer_token_s
 
     def store(self, chain: Sequence[int], salt: str) -> None:
-        """Cache blocks, evicting the oldest."""
+        """Cache blocks, evicting the least recently used ones."""
         stored: list[int] = []
         removed: list[int] = []
         for block in chain:
@@ -365,7 +365,7 @@
     def publish(
         self, stored: tuple[int, ...], removed: tuple[int, ...]
     ) -> None:
-        """Append a cache event; some are lost."""
+        """Append a cache event, or lose it with probability `event_loss`."""
         sequence = self.next_sequence
         self.next_sequence += 1
         if self.random.random() < self.parameters.event_loss:
@@ -375,7 +375,10 @@
         del self.events[: -self.parameters.events_kept]
 
     def events_after(self, sequence: int) -> CacheEvents:
-        """Return the events from a sequence number on, as they lag."""
+        """Return the events from a sequence number on.
+
+        Events become visible `event_lag_s` after they were published.
+        """
         visible_s = self.clock.seconds() - self.parameters.event_lag_s
         return CacheEvents(
             incarnation=self.incarnation,
@@ -395,7 +398,11 @@
         )
 
     def crash(self, down_s: float = 0.0) -> None:
-        """Lose everything; come back empty as a new incarnation."""
+        """Fail all sequences and restart empty, as a new incarnation.
+
+        Args:
+          down_s: How long new attempts are refused, in seconds.
+        """
         lost = self.waiting + self.batch
         self.restart_empty()
         self.is_down = down_s > 0.0
@@ -403,10 +410,10 @@
         for generation in lost:
             generation.sink.ended(Ended(failure=failure))
         if self.is_down:
-            self.clock.callLater(down_s, self.come_up)
+            self.clock.callLater(down_s, self.end_outage)
 
     def restart_empty(self) -> None:
-        """Drop all state of this incarnation."""
+        """Discard the state of this incarnation and begin the next."""
         self.starts += 1
         self.waiting, self.batch, self.events = [], [], []
         self.cache.clear()
@@ -415,15 +422,15 @@
         self.loading = False
         self.target_version = ""
 
-    def come_up(self) -> None:
-        """Serve again."""
+    def end_outage(self) -> None:
+        """Accept attempts again after a crash."""
         self.is_down = False
 
     def order_version(self, version: str, fencing: int) -> bool:
-        """Load other weights; whether the order was taken.
+        """Start to load a weights version; return whether this was accepted.
 
         An engine that checks fencing refuses a number below the largest one
-        it has seen.
+        it has seen.  Sequences in progress fail when a load starts.
         """
         if self.is_down:
             return False
@@ -440,7 +447,7 @@
         return True
 
     def finish_load(self, loaded: None, version: str, starts: int) -> None:
-        """Serve the weights that were loaded."""
+        """Serve the loaded weights, unless the engine restarted meanwhile."""
         if starts == self.starts:
             self.version = version
             self.loading = False
@@ -448,12 +455,17 @@
 
 
 def token_text(seed: int, index: int) -> str:
-    """Return the token at an index of the answer to a prompt."""
+    """Return the token at an index of an answer.
+
+    Args:
+      seed: The hash of the prompt.
+      index: The position of the token in the answer.
+    """
     value = xxh3_64_intdigest(index.to_bytes(4, "little"), seed=seed)
     return f"{value & 0xFFFFFF:x}"[-3:].rjust(3, "0") + " "
 
 
 def expected_answer(prompt: str, max_tokens: int) -> str:
-    """Return the whole answer to a prompt, to check what a caller got."""
+    """Return the complete answer to a prompt, to check a caller's against."""
     seed = xxh3_64_intdigest(prompt.encode())
     return "".join(token_text(seed, index) for index in range(max_tokens))
--- a/sequoiawind/lab/log_model.py
+++ b/sequoiawind/lab/log_model.py
@@ -1,7 +1,8 @@
-"""A model of the platform's append-only log: the stand-in for tests.
+"""A simulated append-only log of the platform: a stand-in for tests.
 
-Streams with offsets, limited retention, a cap on appends a second, outages,
-slowness, and answers lost after the write took effect.
+It has streams with offsets, limited retention and a cap on appends per
+second.  Its faults are outages, slow answers, and answers that are lost after
+the write took effect.
 """
 
 import random
@@ -22,7 +23,7 @@
 
 @attrs.define(kw_only=True)
 class LogStream:
-    """The records of one stream that are still kept."""
+    """The records of one stream within the retention."""
 
     first: int = 0
     records: list[LogRecord] = attrs.field(factory=list)
@@ -35,13 +36,13 @@
 
 @attrs.define(kw_only=True)
 class LogModel:
-    """The log; faults are switched by its attributes."""
+    """The simulated log; its faults are set through its attributes."""
 
     clock: Clock
     random: random.Random
     retention_s: float = defaults.LOG_RETENTION_S
     appends_per_s: float = 300.0
-    # Time added to a record's stamp, as the epoch.
+    # Added to the clock's time for a record's time since the epoch, in seconds.
     epoch_s: float = 0.0
     is_down: bool = False
     # Delay of every answer, in seconds.
@@ -51,25 +52,28 @@
     streams: dict[str, LogStream] = attrs.field(factory=dict)
     appends: int = 0
     reads: int = 0
+    # Token bucket of the cap on appends, and when it was last filled.
     tokens: float = 300.0
     tokens_at_s: float = 0.0
 
     def append(
         self, stream: str, records: Sequence[str]
     ) -> Deferred[Result[int, Failure]]:
-        """Append records, as far as the log is up and under its cap."""
-        return self.later(partial(self.append_now, stream, list(records)))
+        """Append records; fails during an outage or over the cap."""
+        return self.after_latency(
+            partial(self.append_now, stream, list(records))
+        )
 
     def read(
         self, stream: str, start: int, limit: int
     ) -> Deferred[Result[LogPage, Failure]]:
         """Read records from an offset on."""
-        return self.later(partial(self.read_now, stream, start, limit))
+        return self.after_latency(partial(self.read_now, stream, start, limit))
 
-    def later(
+    def after_latency(
         self, action: Callable[[], Result[T, Failure]]
     ) -> Deferred[Result[T, Failure]]:
-        """Do something after the log's latency."""
+        """Run an action after the log's latency and return its result."""
         done: Deferred[Result[T, Failure]] = Deferred()
 
         def act() -> None:
@@ -82,16 +86,16 @@
     def append_now(
         self, stream: str, records: list[str]
     ) -> Result[int, Failure]:
-        """Append at once."""
+        """Append records without latency; return the first one's offset."""
         if self.is_down:
             return Error(may_have_run(Reason.LOG_UNAVAILABLE, "outage"))
         if not self.take_token():
             return Error(not_run(Reason.LOG_UNAVAILABLE, "throttled", 1.0))
-        kept = self.stream(stream)
-        offset = kept.end
+        log_stream = self.stream(stream)
+        offset = log_stream.end
         time_s = self.epoch_s + self.clock.seconds()
         for position, data in enumerate(records):
-            kept.records.append(
+            log_stream.records.append(
                 LogRecord(offset=offset + position, time_s=time_s, data=data)
             )
         self.appends += 1
@@ -100,7 +104,7 @@
         return Ok(offset)
 
     def take_token(self) -> bool:
-        """Whether the cap allows one more append."""
+        """Take a token of the append cap; return whether there was one."""
         now_s = self.clock.seconds()
         gained = (now_s - self.tokens_at_s) * self.appends_per_s
         self.tokens = min(self.appends_per_s, self.tokens + gained)
@@ -113,33 +117,33 @@
     def read_now(
         self, stream: str, start: int, limit: int
     ) -> Result[LogPage, Failure]:
-        """Read at once."""
+        """Read records without latency."""
         if self.is_down:
             return Error(not_run(Reason.LOG_UNAVAILABLE, "outage"))
         self.reads += 1
-        kept = self.stream(stream)
-        self.expire(kept)
-        position = max(0, start - kept.first)
+        log_stream = self.stream(stream)
+        self.expire(log_stream)
+        position = max(0, start - log_stream.first)
         return Ok(
             LogPage(
-                records=kept.records[position : position + limit],
-                first=kept.first,
-                end=kept.end,
+                records=log_stream.records[position : position + limit],
+                first=log_stream.first,
+                end=log_stream.end,
             )
         )
 
     def stream(self, name: str) -> LogStream:
-        """Return a stream, made on first use."""
+        """Return a stream; it is created on first use."""
         return self.streams.setdefault(name, LogStream())
 
-    def expire(self, kept: LogStream) -> None:
-        """Drop the records older than the retention."""
+    def expire(self, log_stream: LogStream) -> None:
+        """Drop the records that are older than the retention."""
         oldest_s = self.epoch_s + self.clock.seconds() - self.retention_s
         count = 0
-        while count < len(kept.records) and (
-            kept.records[count].time_s < oldest_s
+        while count < len(log_stream.records) and (
+            log_stream.records[count].time_s < oldest_s
         ):
             count += 1
         if count:
-            del kept.records[:count]
-            kept.first += count
+            del log_stream.records[:count]
+            log_stream.first += count
--- a/sequoiawind/lab/plain_model.py
+++ b/sequoiawind/lab/plain_model.py
@@ -1,7 +1,8 @@
-"""A model of a plain service: the stand-in that counts its executions.
+"""A simulated plain service: a stand-in that counts its executions.
 
 It serves bookings and registrations, which take effect once per call, and
-status reads.  It does nothing against repeats, so that a repeat shows.
+status reads.  It does not deduplicate calls, so that a repeated execution
+shows in the counts.
 """
 
 from collections import Counter
@@ -18,7 +19,7 @@
 
 @attrs.define(kw_only=True)
 class PlainModel:
-    """A plain service; implements the target side of `TargetPort`."""
+    """A simulated service; implements the target side of `TargetPort`."""
 
     name: str
     clock: Clock
@@ -31,7 +32,7 @@
     open_sinks: list[Sink] = attrs.field(factory=list)
 
     def open(self, address: str, attempt: Attempt, sink: Sink) -> Call:
-        """Take a call, and execute it after a while."""
+        """Accept a call, and execute it after half of the work time."""
         if self.is_down:
             down = not_run(Reason.CONNECT_FAILED, messages.CONNECT_FAILED)
             sink.ended(Ended(failure=down))
@@ -45,7 +46,7 @@
         return NoCall()
 
     def execute(self, starts: int, attempt: Attempt, sink: Sink) -> None:
-        """Do the work; the answer follows a little later."""
+        """Count the execution; the reply follows half the work time later."""
         if starts != self.starts:
             return
         self.by_request[attempt.request_id] += 1
@@ -54,11 +55,11 @@
             self.by_key[key] += 1
         self.clock.callLater(
             self.work_time_s / 2,
-            partial(self.answer, self.starts, attempt, sink),
+            partial(self.send_reply, self.starts, attempt, sink),
         )
 
-    def answer(self, starts: int, attempt: Attempt, sink: Sink) -> None:
-        """Answer a call."""
+    def send_reply(self, starts: int, attempt: Attempt, sink: Sink) -> None:
+        """Send the reply to a call."""
         if starts != self.starts:
             return
         self.open_sinks.remove(sink)
@@ -78,7 +79,11 @@
         )
 
     def crash(self, down_s: float = 0.0) -> None:
-        """Break all calls; what was executed stays executed."""
+        """Fail all open calls; what was executed stays counted.
+
+        Args:
+          down_s: How long new calls are refused, in seconds.
+        """
         self.starts += 1
         self.is_down = down_s > 0.0
         lost, self.open_sinks = self.open_sinks, []
@@ -86,8 +91,8 @@
             failure = may_have_run(Reason.TARGET_LOST, messages.TARGET_LOST)
             sink.ended(Ended(failure=failure))
         if self.is_down:
-            self.clock.callLater(down_s, self.come_up)
+            self.clock.callLater(down_s, self.end_outage)
 
-    def come_up(self) -> None:
-        """Serve again."""
+    def end_outage(self) -> None:
+        """Accept calls again after a crash."""
         self.is_down = False
--- a/sequoiawind/lab/weight_store.py
+++ b/sequoiawind/lab/weight_store.py
@@ -1,6 +1,7 @@
-"""A model of the weight store, whose rate is limited: a stand-in.
+"""A simulated weight store with limited throughput: a stand-in for tests.
 
-Loads beyond the free ones slow each other.
+A load that starts while the free number of others are running, or more, takes
+proportionally longer.
 """
 
 from typing import Protocol
@@ -13,27 +14,32 @@
 
 
 class WeightSource(Protocol):
-    """Where an engine loads weights from."""
+    """A source from which an engine loads weights."""
 
     def load(self, load_time_s: float) -> Deferred[None]:
-        """Load weights; fires when they are there."""
+        """Load weights; the Deferred fires when they are loaded."""
 
 
 @attrs.define(kw_only=True)
 class WeightStore:
-    """The store; shared by all engines of a deployment."""
+    """The simulated store, shared by all engines of a deployment."""
 
     clock: Clock
-    # Loads at once that do not slow each other.
+    # Concurrent loads that do not slow each other.
     free_loads: int = 2
+    # Loads in progress.
     loads: int = 0
 
     def load(self, load_time_s: float) -> Deferred[None]:
-        """Load weights that take so many seconds when the store is idle."""
+        """Load weights; the Deferred fires when they are loaded.
+
+        Args:
+          load_time_s: How long the load takes when the store is idle.
+        """
         self.loads += 1
         slowed_s = load_time_s * max(1.0, self.loads / self.free_loads)
-        return timing.sleep(self.clock, slowed_s).addCallback(self.ended)
+        return timing.sleep(self.clock, slowed_s).addCallback(self.end_load)
 
-    def ended(self, loaded: None) -> None:
-        """Note the end of a load."""
+    def end_load(self, loaded: None) -> None:
+        """Count a load as finished."""
         self.loads -= 1
