--- a/sequoiawind/lab/standin_http.py
+++ b/sequoiawind/lab/standin_http.py
@@ -1,4 +1,7 @@
-"""The stand-ins over HTTP: engine, plain service, log and VM list."""
+"""HTTP servers of the stand-ins, and a client of the weight store.
+
+The stand-ins are engine, plain service, log, VM list and weight store.
+"""
 
 import random
 from functools import partial
@@ -35,7 +38,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class EngineSink:
-    """Writes a sequence to the agent's connection."""
+    """Writes the chunks of a sequence to the agent's connection."""
 
     request: server.Request
     is_over: bool = False
@@ -54,7 +57,7 @@
             self.request.write(sse.chunk_event(attempt_id, index, data))
 
     def ended(self, ended: Ended) -> None:
-        """End the response; a broken sequence breaks the connection."""
+        """End the response; a failure after its start drops the connection."""
         if self.is_over:
             return
         self.is_over = True
@@ -67,8 +70,8 @@
         else:
             self.request.loseConnection()
 
-    def gone(self, call: Call) -> None:
-        """Stop computing: the connection is lost."""
+    def disconnected(self, call: Call) -> None:
+        """Cancel the sequence if the connection ended before the response."""
         if not self.is_over:
             self.is_over = True
             call.cancel()
@@ -76,12 +79,12 @@
 
 @attrs.define(kw_only=True)
 class EngineHttp:
-    """Serves an engine model."""
+    """Serves an engine model over HTTP."""
 
     engine: EngineModel
 
     def app(self) -> klein.Klein:
-        """Return the application."""
+        """Return the HTTP application."""
         app = klein.Klein()
         for path in (openai_format.CHAT_PATH, openai_format.TEXT_PATH):
             app.route(path, methods=["POST"])(self.completion)
@@ -90,23 +93,23 @@
         app.route("/load", methods=["GET"])(self.load)
         app.route("/weights", methods=["POST"])(self.weights)
         app.route("/kv/export", methods=["POST"])(self.export)
-        app.route("/kv/import", methods=["POST"])(self.import_kept)
+        app.route("/kv/import", methods=["POST"])(self.import_blocks)
         app.route("/totals", methods=["GET"])(self.totals)
         app.route("/crash", methods=["POST"])(self.crash)
         return app
 
     def completion(self, request: server.Request) -> Deferred[None]:
-        """Compute a sequence."""
+        """Compute a sequence and stream its chunks."""
         body = json_object(http_server.body_of(request)) or {}
         attempt = attempt_of(request, body)
         sink = EngineSink(request=request)
         done = http_server.ended(request)
         call = self.engine.open("", attempt, sink)
-        done.addCallback(lambda _: sink.gone(call))
+        done.addCallback(lambda _: sink.disconnected(call))
         return done
 
     def events(self, request: server.Request) -> bytes:
-        """Return cache events."""
+        """Return the cache events from the sequence number `after` on."""
         after = int(request.args.get(b"after", [b"0"])[0])
         events = self.engine.events_after(after)
         return http_server.json_reply(request, wire.encode(events))
@@ -122,27 +125,27 @@
         return http_server.json_reply(request, report)
 
     def weights(self, request: server.Request) -> bytes:
-        """Take an order to load weights."""
+        """Pass on an order to load weights; reply whether it was accepted."""
         body = json_object(http_server.body_of(request)) or {}
-        taken = self.engine.order_version(
+        accepted = self.engine.order_version(
             str(body.get("version", "")), int(body.get("fencing", -1))
         )
-        return http_server.json_reply(request, wire.encode(taken))
+        return http_server.json_reply(request, wire.encode(accepted))
 
     def export(self, request: server.Request) -> bytes:
         """Export the cached blocks of a chain."""
         chain = wire.decode(http_server.body_of(request), list[int])
-        kept = wire.encode(self.engine.export_blocks(chain))
-        return http_server.json_reply(request, kept)
+        exported = wire.encode(self.engine.export_blocks(chain))
+        return http_server.json_reply(request, exported)
 
-    def import_kept(self, request: server.Request) -> bytes:
-        """Import blocks that were kept."""
-        kept = wire.decode(http_server.body_of(request), list[KeptBlock])
-        taken = wire.encode(self.engine.import_blocks(kept))
-        return http_server.json_reply(request, taken)
+    def import_blocks(self, request: server.Request) -> bytes:
+        """Import exported blocks; reply with the number imported."""
+        exported = wire.decode(http_server.body_of(request), list[KeptBlock])
+        imported = wire.encode(self.engine.import_blocks(exported))
+        return http_server.json_reply(request, imported)
 
     def totals(self, request: server.Request) -> bytes:
-        """Return the totals that measurements need."""
+        """Return the engine's token counts, for measurements."""
         totals = {
             "prompt_tokens": self.engine.prompt_tokens,
             "computed_tokens": self.engine.computed_tokens,
@@ -151,15 +154,15 @@
         return http_server.json_reply(request, wire.encode(totals))
 
     def crash(self, request: server.Request) -> bytes:
-        """Lose everything and come back empty."""
+        """Crash the engine; it restarts empty."""
         self.engine.crash()
         return http_server.json_reply(request, b"{}")
 
 
 def attempt_of(request: server.Request, body: dict[str, Any]) -> Attempt:
-    """Return the attempt in a request to an engine."""
+    """Return the attempt that a request to an engine describes."""
     path = request.path.decode()
-    going_on = body.get("continue_from") or {}
+    continuation = body.get("continue_from") or {}
     return Attempt(
         attempt_id=http_server.header(request, ATTEMPT_HEADER) or "direct",
         request_id=http_server.header(request, http_server.REQUEST_ID_HEADER),
@@ -175,26 +178,26 @@
         prompt=openai_format.prompt_of(path, body) or "",
         path=path,
         max_tokens=int(wanted_tokens(body)),
-        start_index=int(going_on.get("index", 0)),
-        partial=str(going_on.get("text", "")),
+        start_index=int(continuation.get("index", 0)),
+        partial=str(continuation.get("text", "")),
     )
 
 
 @attrs.define(kw_only=True, eq=False)
 class PlainSink:
-    """Writes the reply of a plain service."""
+    """Writes the reply of a plain service to the agent's connection."""
 
     request: server.Request
     is_over: bool = False
 
     def started(self, load: LoadReport) -> None:
-        """The call has been taken."""
+        """Do nothing: the response has no head before its reply."""
 
     def chunk(self, attempt_id: str, index: int, data: bytes) -> None:
-        """Plain services send no chunks."""
+        """Do nothing: plain services send no chunks."""
 
     def ended(self, ended: Ended) -> None:
-        """Write the reply; a broken call breaks the connection."""
+        """Write the reply, or drop the connection if the call failed."""
         if self.is_over:
             return
         self.is_over = True
@@ -206,19 +209,19 @@
         self.request.write(wire.decode_body(ended.reply.body))
         self.request.finish()
 
-    def gone(self) -> None:
-        """The connection is lost."""
+    def disconnected(self) -> None:
+        """Write no reply any more: the connection has ended."""
         self.is_over = True
 
 
 @attrs.define(kw_only=True)
 class PlainHttp:
-    """Serves a plain service model."""
+    """Serves a plain service model over HTTP."""
 
     model: PlainModel
 
     def app(self) -> klein.Klein:
-        """Return the application."""
+        """Return the HTTP application."""
         app = klein.Klein()
         app.route("/executions", methods=["GET"])(self.executions)
         app.route("/", branch=True)(self.call)
@@ -240,11 +243,11 @@
             idempotency_key=http_server.header(request, http_server.KEY_HEADER),
         )
         self.model.open("", attempt, sink)
-        done.addCallback(lambda _: sink.gone())
+        done.addCallback(lambda _: sink.disconnected())
         return done
 
     def executions(self, request: server.Request) -> bytes:
-        """Return how often each key and request was executed."""
+        """Return how often each idempotency key and request was executed."""
         counts = {
             "by_key": dict(self.model.by_key),
             "by_request": dict(self.model.by_request),
@@ -254,19 +257,19 @@
 
 @attrs.frozen(kw_only=True)
 class AppendBody:
-    """A request to append."""
+    """The body of a request to append records."""
 
     records: list[str]
 
 
 @attrs.define(kw_only=True)
 class LogHttp:
-    """Serves a log model."""
+    """Serves a log model over HTTP."""
 
     model: LogModel
 
     def app(self) -> klein.Klein:
-        """Return the application."""
+        """Return the HTTP application."""
         app = klein.Klein()
         path = "/streams/<stream>/records"
         app.route(path, methods=["POST"])(self.append)
@@ -278,7 +281,7 @@
     def append(
         self, request: server.Request, stream: str
     ) -> Deferred[bytes] | bytes:
-        """Append records."""
+        """Append records to a stream."""
         try:
             body = wire.decode(http_server.body_of(request), AppendBody)
         except wire.WireError:
@@ -289,14 +292,14 @@
     def answer_append(
         self, request: server.Request, result: Result[int, Failure]
     ) -> bytes:
-        """Answer an append."""
+        """Reply with the offset of an append or with its failure."""
         if result.is_ok():
             data = wire.encode(Appended(offset=result.ok))
             return http_server.json_reply(request, data)
         return self.fail(request, result.error)
 
     def read(self, request: server.Request, stream: str) -> Deferred[bytes]:
-        """Read records."""
+        """Read a page of records from the offset `start` on."""
         start = int(request.args.get(b"start", [b"0"])[0])
         limit = int(request.args.get(b"limit", [b"1000"])[0])
         page = self.model.read(stream, start, min(limit, defaults.READ_LIMIT))
@@ -309,13 +312,13 @@
         return page.addCallback(answer)
 
     def fail(self, request: server.Request, failure: Failure) -> bytes:
-        """Answer with a failure."""
+        """Reply with a failure."""
         return http_server.json_reply(
             request, wire.encode(failure), http.SERVICE_UNAVAILABLE
         )
 
     def faults(self, request: server.Request) -> bytes:
-        """Switch faults: is_down, latency_s and lost_answers."""
+        """Set the faults given: is_down, latency_s and lost_answers."""
         body = json_object(http_server.body_of(request)) or {}
         for name in ("is_down", "latency_s", "lost_answers"):
             if name in body:
@@ -323,20 +326,21 @@
         return http_server.json_reply(request, b"{}")
 
     def totals(self, request: server.Request) -> bytes:
-        """Return how many appends and reads there were."""
+        """Return the numbers of appends and reads."""
         totals = {"appends": self.model.appends, "reads": self.model.reads}
         return http_server.json_reply(request, wire.encode(totals))
 
 
 @attrs.define(kw_only=True)
 class VmListHttp:
-    """Serves a list of VMs that lags behind what it is told."""
+    """Serves a list of VMs whose changes take effect after a lag."""
 
     lag_s: float = 1.0
+    # State by VM name.
     vms: dict[str, str] = attrs.field(factory=dict)
 
     def app(self) -> klein.Klein:
-        """Return the application."""
+        """Return the HTTP application."""
         app = klein.Klein()
         app.route("/vms", methods=["GET"])(self.show)
         app.route("/vms", methods=["POST"])(self.change)
@@ -350,7 +354,7 @@
         return http_server.json_reply(request, wire.encode(entries))
 
     def change(self, request: server.Request) -> bytes:
-        """Change the list, after its lag."""
+        """Set the states of VMs, by name; they change after the lag."""
         body = json_object(http_server.body_of(request)) or {}
         event_loop.reactor.callLater(self.lag_s, self.vms.update, body)
         return http_server.json_reply(request, b"{}")
@@ -358,18 +362,18 @@
 
 @attrs.define(kw_only=True)
 class WeightsHttp:
-    """Serves a weight store: a request is answered when its load is done."""
+    """Serves a weight store over HTTP; replies once a load has finished."""
 
     store: WeightStore
 
     def app(self) -> klein.Klein:
-        """Return the application."""
+        """Return the HTTP application."""
         app = klein.Klein()
         app.route("/loads", methods=["POST"])(self.load)
         return app
 
     def load(self, request: server.Request) -> Deferred[bytes]:
-        """Load weights."""
+        """Load weights; the body is the load time in seconds."""
         seconds = wire.decode(http_server.body_of(request), float)
         loading = self.store.load(seconds)
         return loading.addCallback(
@@ -386,11 +390,11 @@
     address: str
 
     def load(self, load_time_s: float) -> Deferred[None]:
-        """Load weights; a store that fails is asked again."""
-        return Deferred.fromCoroutine(self.ask(load_time_s))
+        """Load weights, retrying until the store succeeds."""
+        return Deferred.fromCoroutine(self.load_with_retries(load_time_s))
 
-    async def ask(self, load_time_s: float) -> None:
-        """Ask the store until a load succeeds."""
+    async def load_with_retries(self, load_time_s: float) -> None:
+        """Request a load, one second after each failure, until it succeeds."""
         url = f"http://{self.address}/loads"
         while (
             await self.json.call("POST", url, dict[str, Any], load_time_s)
@@ -398,6 +402,6 @@
             await timing.sleep(event_loop.reactor, 1.0)
 
 
-def make_source(seed: int) -> random.Random:
-    """Return the random numbers of a stand-in."""
+def make_random(seed: int) -> random.Random:
+    """Return a seeded random number generator for a stand-in."""
     return random.Random(seed)
--- a/sequoiawind/lab/standin_main.py
+++ b/sequoiawind/lab/standin_main.py
@@ -1,4 +1,4 @@
-"""The program `sequoiawind-standin`: stand-ins for tests and the demo."""
+"""The program `sequoiawind-standin`: serves one stand-in over HTTP."""
 
 import argparse
 import time
@@ -30,11 +30,11 @@
 
 ROLES: Final = ("engine", "plain", "log", "vm-list", "weights")
 LOAD_TIMEOUT_S: Final = 300.0
-PURPOSE: Final = "Stand in for an outside system in tests and demos."
+PURPOSE: Final = "Simulate an external system for tests and demos."
 
 
 def main() -> None:
-    """Run the program."""
+    """Serve the stand-in that the command line names, until stopped."""
     args = make_parser().parse_args()
     address = settings.parse_address(args.listen)
     if address is None:
@@ -44,7 +44,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = command_line.parser("sequoiawind-standin", PURPOSE)
     parser.add_argument("role", choices=ROLES)
     parser.add_argument("--listen", required=True, help="host:port")
@@ -66,7 +66,7 @@
         default=0.4e-3,
         help="time that a sequence adds to a step, in seconds",
     )
-    parser.add_argument("--weights", help="the weight store's host:port")
+    parser.add_argument("--weights", help="host:port of the weight store")
     parser.add_argument("--load-time", type=float, default=5.0)
     parser.add_argument("--free-loads", type=int, default=2)
     parser.add_argument("--max-batch", type=int, default=32)
@@ -77,9 +77,9 @@
 
 
 def make_app(args: argparse.Namespace) -> klein.Klein:
-    """Return the application of a stand-in."""
+    """Return the HTTP application of the stand-in for a role."""
     reactor = event_loop.reactor
-    source = standin_http.make_source(args.seed)
+    source = standin_http.make_random(args.seed)
     if args.role == "engine":
         engine = EngineModel(
             name=args.name,
@@ -95,7 +95,7 @@
                 load_time_s=args.load_time,
             ),
         )
-        # A process that is started again is another incarnation.
+        # A restarted process has to report another incarnation.
         engine.starts = int(time.time() * 1000)
         if args.weights:
             json_client = JsonClient(
