--- a/sequoiawind/lab/experiment.py
+++ b/sequoiawind/lab/experiment.py
@@ -1,7 +1,7 @@
-"""Comparing placements on the same seeded workloads.
+"""Compares placement policies on identical seeded workloads.
 
-The decision code that ships runs against the engine model on a virtual
-clock: two routers, the agents and engines of one deployment.
+The production code of two routers and of one deployment's agents runs against
+engine models on a virtual clock.
 """
 
 import random
@@ -32,13 +32,20 @@
 
 @attrs.frozen(kw_only=True)
 class Scenario:
-    """What happens during a run."""
+    """The events of a run: a workload shift, faults or a burst.
+
+    Times are in seconds from the start of the workload; negative for an event
+    that does not happen.
+    """
 
     name: str
+    # When the hottest dossiers change.
     shift_s: float = -1.0
+    # When an engine crashes.
     crash_s: float = -1.0
+    # When all routers are restarted.
     restart_s: float = -1.0
-    # Start and end of a burst in seconds; none if equal.
+    # Start and end of a burst; there is none if they are equal.
     burst_s: tuple[float, float] = (0.0, 0.0)
 
 
@@ -53,24 +60,26 @@
 
 @attrs.define(kw_only=True, eq=False)
 class MeasuredCaller:
-    """One request of a run, measured."""
+    """The caller of one request; measures its answer."""
 
     prompt: Prompt
     clock: Any
+    # Seconds from sending to the first chunk; negative before it arrives.
     first_s: float = -1.0
+    # Virtual time of the end; negative before it.
     ended_s: float = -1.0
     usage: Any = None
     reason: str = ""
     chunks: list[bytes] = attrs.field(factory=list)
 
     def chunk(self, data: bytes) -> None:
-        """Take a chunk."""
+        """Record a chunk and the time to the first one."""
         if self.first_s < 0.0:
             self.first_s = self.clock.seconds() - self.prompt.time_s
         self.chunks.append(data)
 
     def ended(self, ended: Ended) -> None:
-        """Take the end."""
+        """Record the end and its failure or usage."""
         self.ended_s = self.clock.seconds()
         if ended.failure is not None:
             self.reason = ended.failure.reason.value
@@ -94,7 +103,7 @@
     first_p50_s: float
     first_p95_s: float
     first_p99_s: float
-    # Answers whose first token came within the goal, a second.
+    # Answers per second whose first token came within the goal.
     goodput_per_s: float
     # The same for requests sent during the burst; 0 without a burst.
     burst_goodput_per_s: float
@@ -105,7 +114,7 @@
 
 @attrs.define(kw_only=True)
 class Experiment:
-    """One run of one policy."""
+    """One run of one policy on one workload."""
 
     policy: str
     deployment: Deployment
@@ -131,21 +140,21 @@
             self.rig.add_router(f"r{number}")
 
     def placer_factory(self) -> Callable[..., Placer]:
-        """Return what makes the policy's placement."""
+        """Return the factory of the policy's placer."""
         if self.policy == SHIPPED:
             return ProbingPlacer
         kind = policies.BASELINES[self.policy]
         return partial(kind, engine_of=self.engine)
 
     def engine(self, name: str) -> EngineModel:
-        """Return an engine."""
+        """Return an engine by its name."""
         target = self.rig.agents[name].target
         assert isinstance(target, EngineModel)
         return target
 
     def commands(self) -> list[Command]:
-        """Return the configuration."""
-        made: list[Command] = [
+        """Return the commands that configure the deployment."""
+        commands: list[Command] = [
             account_command(
                 f"{self.deployment.name}-{number}",
                 f"{self.deployment.name}-{number}",
@@ -153,7 +162,7 @@
             for number in range(self.deployment.accounts)
         ]
         shape = self.deployment
-        made += language.commands_of(
+        commands += language.commands_of(
             f"create kind kind with max_first_s = {shape.max_first_s}\n"
             f"create policy policy with patience = {self.patience}, "
             f"max_holders = {self.max_holders}\n"
@@ -162,14 +171,14 @@
             "pool = pool, kind = kind, policy = policy\n"
         )
         for number in range(shape.engines):
-            made += language.commands_of(
+            commands += language.commands_of(
                 f"create target e{number} with pool = pool, agent = e{number}"
             )
-        return made
+        return commands
 
     def run(self) -> Outcome:
-        """Run and measure."""
-        drawn = Workload(
+        """Run the workload and return what was measured."""
+        traffic = Workload(
             deployment=self.deployment,
             seed=self.seed,
             duration_s=DURATION_S,
@@ -182,9 +191,11 @@
         )
         balancer = random.Random(f"balancer-{self.seed}")
         self.rig.advance(2.0)
-        for prompt in drawn.prompts():
-            late = attrs.evolve(prompt, time_s=prompt.time_s + 2.0)
-            self.rig.clock.callLater(prompt.time_s, self.send, late, balancer)
+        for prompt in traffic.prompts():
+            delayed = attrs.evolve(prompt, time_s=prompt.time_s + 2.0)
+            self.rig.clock.callLater(
+                prompt.time_s, self.send, delayed, balancer
+            )
         self.schedule_faults()
         self.rig.advance(2.0 + DURATION_S + DRAIN_S)
         return self.measure()
@@ -198,13 +209,13 @@
             later(self.scenario.restart_s, self.restart_routers)
 
     def restart_routers(self) -> None:
-        """Restart all routers together."""
+        """Restart all routers at the same time."""
         for number, router in enumerate(list(self.rig.routers)):
             router.node.kill()
             self.rig.restart_router(number)
 
     def send(self, prompt: Prompt, balancer: random.Random) -> None:
-        """Send a request through a router that the balancer chooses."""
+        """Send a request through a randomly chosen router."""
         chosen: RigRouter = balancer.choice(self.rig.routers)
         caller = MeasuredCaller(prompt=prompt, clock=self.rig.clock)
         self.callers.append(caller)
@@ -223,13 +234,13 @@
             raise TypeError(type(result.ok).__name__)
 
     def measure(self) -> Outcome:
-        """Return what was measured after the warm-up."""
-        counted = [
+        """Return the measurements of the requests sent after the warm-up."""
+        measured = [
             caller
             for caller in self.callers
             if caller.prompt.time_s - 2.0 >= WARM_UP_S
         ]
-        answered = [caller for caller in counted if caller.usage is not None]
+        answered = [caller for caller in measured if caller.usage is not None]
         waits = [caller.first_s for caller in answered]
         prompt_tokens = sum(item.usage.prompt_tokens for item in answered)
         cached = sum(item.usage.cached_tokens for item in answered)
@@ -240,7 +251,7 @@
             deployment=self.deployment.name,
             scenario=self.scenario.name,
             seed=self.seed,
-            requests=len(counted),
+            requests=len(measured),
             answered=len(answered),
             wrong=sum(1 for item in answered if is_wrong(item)),
             hit_rate=cached / max(1, prompt_tokens),
@@ -252,12 +263,12 @@
             burst_goodput_per_s=self.burst_goodput(answered),
             recovery_s=self.recovery_s(answered),
             refusals=dict(
-                Counter(item.reason for item in counted if item.reason)
+                Counter(item.reason for item in measured if item.reason)
             ),
         )
 
     def burst_goodput(self, answered: list[MeasuredCaller]) -> float:
-        """Return the answers in time, a second, of the burst's requests."""
+        """Return the goodput of the burst's requests, in answers per second."""
         start_s, end_s = self.scenario.burst_s
         if start_s == end_s:
             return 0.0
@@ -270,10 +281,12 @@
         return in_time / (end_s - start_s)
 
     def recovery_s(self, answered: list[MeasuredCaller]) -> float:
-        """Return how long after the shift the hit rate was back.
+        """Return how long the hit rate took to recover, in seconds.
 
-        The rate is back at the end of the first two seconds in which it is
-        0.9 of what it was in the 20 s before.
+        It has recovered at the end of the first window of 2 s in which it is
+        at least 0.9 of the rate in the 20 s before the shift.  A rate that
+        does not recover counts as the rest of the run; without a shift the
+        result is -1.
         """
         shift_s = self.scenario.shift_s
         if shift_s < 0.0:
@@ -290,7 +303,7 @@
 
 
 def is_wrong(caller: MeasuredCaller) -> bool:
-    """Whether an answer is not that of its prompt."""
+    """Return whether an answer differs from the one expected."""
     text = openai_format.joined_text(openai_format.TEXT_PATH, caller.chunks)
     expected = engine_model.expected_answer(
         caller.prompt.text, caller.prompt.answer_tokens
@@ -301,7 +314,7 @@
 def hit_rate_between(
     callers: list[MeasuredCaller], start_s: float, end_s: float
 ) -> float:
-    """Return the hit rate of the requests sent in a time."""
+    """Return the hit rate of the requests sent in a time span."""
     chosen = [
         caller.usage
         for caller in callers
--- a/sequoiawind/lab/experiment_report.py
+++ b/sequoiawind/lab/experiment_report.py
@@ -1,6 +1,6 @@
-"""Running experiments over policies, scenarios and seeds, and reporting them.
+"""Runs experiments over policies, scenarios and seeds, and writes reports.
 
-A report is a table in text, all outcomes as JSON lines, and a plot.
+A report is a Markdown table, all outcomes as JSON lines, and a plot.
 """
 
 from collections import defaultdict
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class Job:
-    """One run to make."""
+    """The parameters of one run."""
 
     policy: str
     deployment: str
@@ -39,38 +39,45 @@
 
 @attrs.frozen(kw_only=True)
 class Column:
-    """A column of the table."""
+    """A column of the report's table."""
 
     title: str
     value: Callable[[Outcome], float]
-    form: str = "{:.3f}"
+    template: str = "{:.3f}"
 
 
 COLUMNS: Final = (
-    Column(title="requests", value=lambda o: o.requests, form="{:.0f}"),
-    Column(title="answered", value=lambda o: o.answered, form="{:.0f}"),
+    Column(title="requests", value=lambda o: o.requests, template="{:.0f}"),
+    Column(title="answered", value=lambda o: o.answered, template="{:.0f}"),
     Column(title="hit rate", value=lambda o: o.hit_rate),
     Column(
         title="recomputed k",
         value=lambda o: o.recomputed_tokens / 1000.0,
-        form="{:.0f}",
+        template="{:.0f}",
     ),
     Column(title="p50 s", value=lambda o: o.first_p50_s),
     Column(title="p95 s", value=lambda o: o.first_p95_s),
     Column(title="p99 s", value=lambda o: o.first_p99_s),
-    Column(title="goodput/s", value=lambda o: o.goodput_per_s, form="{:.1f}"),
+    Column(
+        title="goodput/s", value=lambda o: o.goodput_per_s, template="{:.1f}"
+    ),
     Column(
         title="in burst/s",
         value=lambda o: o.burst_goodput_per_s,
-        form="{:.1f}",
+        template="{:.1f}",
     ),
-    Column(title="recovery s", value=lambda o: o.recovery_s, form="{:.1f}"),
-    Column(title="wrong", value=lambda o: o.wrong, form="{:.0f}"),
+    Column(title="recovery s", value=lambda o: o.recovery_s, template="{:.1f}"),
+    Column(title="wrong", value=lambda o: o.wrong, template="{:.0f}"),
 )
 
 
 def make_jobs(seeds: int, patience: dict[str, float]) -> list[Job]:
-    """Return all runs of a full comparison."""
+    """Return the jobs of a full comparison.
+
+    Args:
+      seeds: The number of seeds for each policy and scenario.
+      patience: The patience of each deployment's policy.
+    """
     return [
         Job(
             policy=policy,
@@ -87,7 +94,7 @@
 
 
 def run_job(job: Job) -> Outcome:
-    """Make one run."""
+    """Run one experiment."""
     experiment = Experiment(
         policy=job.policy,
         deployment=workload.DEPLOYMENTS[job.deployment],
@@ -99,7 +106,7 @@
 
 
 def run_jobs(jobs: Sequence[Job], workers: int) -> list[Outcome]:
-    """Make runs on several cores; the order of the outcomes is the jobs'."""
+    """Run jobs in worker processes; return their outcomes in job order."""
     with ProcessPoolExecutor(workers) as pool:
         return list(pool.map(run_job, jobs))
 
@@ -123,13 +130,13 @@
         cells = list(key)
         for column in COLUMNS:
             mean = fmean(column.value(outcome) for outcome in group)
-            cells.append(column.form.format(mean))
+            cells.append(column.template.format(mean))
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
 def write(outcomes: Sequence[Outcome], folder: Path, command: str) -> None:
-    """Write the table, the JSON lines and the plot."""
+    """Write the table, the JSON lines and the plot into a folder."""
     folder.mkdir(parents=True, exist_ok=True)
     seeds = len({outcome.seed for outcome in outcomes})
     text = (
@@ -145,8 +152,8 @@
 
 
 def plot(outcomes: Sequence[Outcome], file: Path) -> None:
-    """Plot hit rate against the tail of the time to the first token."""
-    # The plotting library is needed here only, and slow to import.
+    """Plot the hit rate against the p99 of the time to the first token."""
+    # Imported here: the library is slow to import and needed only for this.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/sequoiawind/lab/policies.py
+++ b/sequoiawind/lab/policies.py
@@ -1,8 +1,8 @@
-"""Baseline placements that the shipped one is compared with.
+"""Baseline placements for comparison with the production placement.
 
-Each baseline replaces only the choice of targets; everything else is the
-real code.  The
-oracle sees every engine's cache, which no real router can.
+Each baseline replaces only the choice of targets; everything else is
+production code.  The oracle reads every engine's cache, which no real router
+can.
 """
 
 import itertools
@@ -21,20 +21,21 @@
 from sequoiawind.plan import Plan
 from sequoiawind.ports import Clock, ProbePort
 
-# The first level of the workloads' prompts, in placement blocks.
+# Length of the first level of the workloads' prompts, in placement blocks.
 FIRST_LEVEL_BLOCKS: Final = 8
 
 
 @attrs.define(kw_only=True)
 class BaselinePlacer:
-    """Orders the candidates by `order` instead of the shipped placement."""
+    """A placer that tries the candidates in the order given by `order`."""
 
     board: Blackboard
     clock: Clock
-    # Not used: baselines do not ask agents.
+    # Unused: baselines do not probe agents.
     port: ProbePort
-    turn: Iterator[int] = attrs.field(factory=itertools.count)
-    # Finds an engine by its name; for the oracle.
+    # Counts up, to start each request at another candidate.
+    rotation: Iterator[int] = attrs.field(factory=itertools.count)
+    # Returns an engine by its name; used by the oracle.
     engine_of: Callable[[str], EngineModel] | None = None
 
     def order(self, plan: Plan, candidates: list[Candidate]) -> list[Candidate]:
@@ -42,9 +43,10 @@
         raise NotImplementedError
 
     def place(self, plan: Plan) -> Deferred[Placed]:
-        """Choose the targets of a request by the baseline.
+        """Return the targets of a request in the baseline's order.
 
-        Baselines queue where they place; they do not spill early.
+        A choice has no cost limit: the request queues at its target, which
+        does not refuse it because another target would cost less.
         """
         candidates = self.board.members.candidates(
             self.board.state, plan.pool.name, self.clock.seconds()
@@ -57,34 +59,34 @@
         done.callback(Placed(choices=choices[: defaults.WALK_LENGTH]))
         return done
 
-    def loads(self, candidates: list[Candidate]) -> dict[str, float]:
-        """Return the wait to expect at each candidate."""
+    def expected_waits_s(self, candidates: list[Candidate]) -> dict[str, float]:
+        """Return the expected wait at each candidate, in seconds."""
         now_s = self.clock.seconds()
         return self.board.members.waits_s(candidates, now_s)
 
 
 class RoundRobin(BaselinePlacer):
-    """Takes the targets in turn."""
+    """Round robin over the targets."""
 
     def order(self, plan: Plan, candidates: list[Candidate]) -> list[Candidate]:
-        """Return the candidates from the next in turn on."""
-        start = next(self.turn) % max(1, len(candidates))
+        """Return the candidates, starting from the next one in rotation."""
+        start = next(self.rotation) % max(1, len(candidates))
         return candidates[start:] + candidates[:start]
 
 
 class LeastLoaded(BaselinePlacer):
-    """Takes the target with the shortest wait."""
+    """Chooses the target with the shortest expected wait."""
 
     def order(self, plan: Plan, candidates: list[Candidate]) -> list[Candidate]:
-        """Return the candidates by their waits."""
-        waits_s = self.loads(candidates)
-        start = next(self.turn) % max(1, len(candidates))
-        turned = candidates[start:] + candidates[:start]
-        return sorted(turned, key=lambda item: waits_s.get(item.name, 0.0))
+        """Return the candidates by their waits; equal ones take turns."""
+        waits_s = self.expected_waits_s(candidates)
+        start = next(self.rotation) % max(1, len(candidates))
+        rotated = candidates[start:] + candidates[:start]
+        return sorted(rotated, key=lambda item: waits_s.get(item.name, 0.0))
 
 
 class WholePromptHash(BaselinePlacer):
-    """Hashes the whole prompt."""
+    """Rendezvous hashing by the whole prompt."""
 
     def order(self, plan: Plan, candidates: list[Candidate]) -> list[Candidate]:
         """Return the candidates in rendezvous order of the prompt."""
@@ -93,7 +95,7 @@
 
 
 class FirstLevelHash(BaselinePlacer):
-    """Hashes the account and the first level of the prompt."""
+    """Rendezvous hashing by the account and the prompt's first level."""
 
     def order(self, plan: Plan, candidates: list[Candidate]) -> list[Candidate]:
         """Return the candidates in rendezvous order of the first level."""
@@ -104,10 +106,11 @@
 
 
 class Oracle(BaselinePlacer):
-    """Sees every cache and takes the target of least cost.
+    """Reads every engine's cache and chooses the target of least cost.
 
-    The cost is that of the shipped placement: the wait, plus the time to
-    compute what the engine has not cached, weighted by the route's patience.
+    The cost is that of the production placement: the wait, plus the time to
+    compute the tokens that the engine has not cached, weighted by the route's
+    patience.
     """
 
     def order(self, plan: Plan, candidates: list[Candidate]) -> list[Candidate]:
@@ -137,10 +140,10 @@
             len(chain),
         )
         cached = hits * size // defaults.BYTES_PER_TOKEN
-        own = prefix.tokens(text) - cached
-        ahead = sum(item.prefill_left for item in engine.batch)
+        uncached = prefix.tokens(text) - cached
+        running = sum(item.prefill_left for item in engine.batch)
         waiting = sum(item.prompt_tokens for item in engine.waiting)
-        tokens = patience * own + ahead + waiting
+        tokens = patience * uncached + running + waiting
         return tokens / defaults.PREFILL_TOKENS_PER_S
 
 
--- a/sequoiawind/lab/workload.py
+++ b/sequoiawind/lab/workload.py
@@ -1,8 +1,9 @@
 """Seeded workloads like those of the two deployments.
 
-Prompts are made of nested levels: an account's instructions, a station's or
-vessel's dossier, a case, and a question of its own.  Each level is drawn
-from a Zipf distribution, whose hottest members can change during the run.
+Prompts consist of nested levels: an account's instructions, a station's or
+vessel's dossier, a case, and a unique question.  Account, dossier and case
+are drawn from Zipf distributions; the hottest dossiers can change during the
+run.
 """
 
 import itertools
@@ -31,11 +32,11 @@
     case_tokens: int = 2048
     question_tokens: int = 128
     answer_tokens: int = 48
-    # Time to the first token up to which requests are admitted, and the
-    # goal for it, in seconds.
+    # Longest time to the first token for which a request is admitted, and the
+    # goal for that time, in seconds.
     max_first_s: float = 1.0
     first_token_goal_s: float = 1.1
-    # How much a burst multiplies the rate.
+    # Factor by which a burst multiplies the rate.
     burst_factor: float = 6.0
     # Zipf exponents of accounts, dossiers and cases.
     account_skew: float = 1.0
@@ -73,7 +74,7 @@
 
 @attrs.frozen(kw_only=True)
 class Burst:
-    """A time in which the rate is multiplied."""
+    """A time span in which the rate is multiplied by a factor."""
 
     start_s: float
     end_s: float
@@ -82,7 +83,7 @@
 
 @attrs.define(kw_only=True)
 class Workload:
-    """Draws the requests of one run."""
+    """Generates the requests of one run."""
 
     deployment: Deployment
     seed: int
@@ -92,7 +93,7 @@
     burst: Burst | None = None
 
     def prompts(self) -> Iterator[Prompt]:
-        """Yield the requests in order of time (a Poisson process)."""
+        """Yield the requests in order of time, as a Poisson process."""
         source = random.Random(f"{self.deployment.name}-{self.seed}")
         time_s = 0.0
         for number in itertools.count():
@@ -102,7 +103,7 @@
             yield self.draw(source, number, time_s)
 
     def rate_at(self, time_s: float) -> float:
-        """Return the rate at a time, in requests a second."""
+        """Return the rate at a time, in requests per second."""
         rate = self.deployment.rate_per_s
         if self.burst is None:
             return rate
@@ -111,7 +112,7 @@
         return rate
 
     def draw(self, source: random.Random, number: int, time_s: float) -> Prompt:
-        """Return one request."""
+        """Return a random request."""
         shape = self.deployment
         account = zipf(source, shape.accounts, shape.account_skew)
         dossier = zipf(source, shape.dossiers, shape.dossier_skew)
@@ -119,7 +120,8 @@
             dossier = (dossier + shape.dossiers // 2) % shape.dossiers
         case = zipf(source, shape.cases, shape.case_skew)
         name = f"{shape.name}-{account}"
-        # The seed draws other hashes, so that no policy rests on its luck.
+        # The seed is part of the text: each seed gives other hashes, so that
+        # no policy's result depends on one lucky set of them.
         title = f"{name} {self.seed}"
         text = "".join(
             (
@@ -145,14 +147,14 @@
 
 
 def level(title: str, tokens: int) -> str:
-    """Return the text of one level of a prompt."""
+    """Return the text of one level of a prompt, of a number of tokens."""
     size = tokens * defaults.BYTES_PER_TOKEN
     unit = f"{title}; "
     return (unit * (size // len(unit) + 1))[:size]
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile of values; 0 if there are none."""
+    """Return the quantile of values at a share; 0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
