--- a/sequoiawind/lab/__init__.py
+++ b/sequoiawind/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Models, stand-ins and experiments; nothing that ships imports them."""
+"""Models, stand-ins and experiments; production code imports none of them."""
--- a/sequoiawind/lab/http_bench.py
+++ b/sequoiawind/lab/http_bench.py
@@ -1,8 +1,8 @@
-"""Measuring the speed of real daemons on one machine.
+"""Benchmarks of real daemons on one machine.
 
-The time that router and agent add is measured against the engine stand-in
-called directly, in the same run.  Relaying is measured in chunks for each
-second of processor time of one daemon.
+The time that router and agent add is the difference to calling the engine
+stand-in directly, in the same run.  Relaying is measured in chunks per second
+of the router's and of the agents' processor time.
 """
 
 import os
@@ -24,7 +24,7 @@
 SECONDS: Final = 10.0
 SHORT_ANSWER_TOKENS: Final = 4
 PROMPT_TOKENS: Final = 1024
-# Different prefixes, so that the load reaches all engines.
+# Number of different prompt prefixes, so that the load reaches all engines.
 TOPICS: Final = 12
 STREAMS: Final = 200
 STREAM_TOKENS: Final = 1000
@@ -33,17 +33,17 @@
 
 @attrs.define(kw_only=True)
 class Bench:
-    """One run of all measurements."""
+    """One run of all benchmarks."""
 
     router: str
     engines: Sequence[str]
-    # All agents, so that the streams of each are counted.
+    # All agents: the processor time of relaying is summed over them.
     agents: Sequence[str]
     model: str
     client: HTTPClient = attrs.field(factory=http_client.make_client)
 
     async def run(self) -> list[str]:
-        """Measure and return the results as text."""
+        """Run all benchmarks and return the results as lines of text."""
         lines = [f"cores {os.cpu_count()}"]
         lines += await self.idle_memory()
         lines += await self.added_time()
@@ -60,7 +60,10 @@
         ]
 
     async def added_time(self) -> list[str]:
-        """Measure the time to the first token, direct and routed."""
+        """Measure the time to the first token, direct and routed.
+
+        Both loads run at the same time, at the same rate.
+        """
         runs = [self.load_run(*self.engines), self.load_run(self.router)]
         await gatherResults(
             [
@@ -79,7 +82,7 @@
         return lines
 
     async def relaying(self) -> list[str]:
-        """Measure how many chunks a core relays."""
+        """Measure how many chunks router and agents relay per CPU second."""
         router_before_s = await self.cpu_s([self.router])
         agents_before_s = await self.cpu_s(self.agents)
         began_s = time.monotonic()
@@ -95,26 +98,26 @@
         ]
         router_s = await self.cpu_s([self.router]) - router_before_s
         agents_s = await self.cpu_s(self.agents) - agents_before_s
-        for name, spent_s in (("router", router_s), ("agents", agents_s)):
+        for name, used_s in (("router", router_s), ("agents", agents_s)):
             lines.append(
-                f"{name}: {chunks / max(spent_s, 1e-9):.0f} chunks for each "
+                f"{name}: {chunks / max(used_s, 1e-9):.0f} chunks for each "
                 "second of processor time"
             )
         return lines
 
     async def cpu_s(self, addresses: Sequence[str]) -> float:
-        """Return the processor time that daemons have used."""
+        """Return the processor time that daemons have used, in seconds."""
         total_s = 0.0
         for address in addresses:
             total_s += await self.metric(address, "cpu_seconds_total")
         return total_s
 
     def load_run(self, *addresses: str) -> LoadRun:
-        """Return a run against addresses, in turn."""
+        """Return a load run that sends to addresses in turn."""
         return LoadRun(client=self.client, routers=addresses, model=self.model)
 
     async def metric(self, address: str, name: str) -> float:
-        """Return a process metric of a daemon."""
+        """Return a process metric of a daemon; 0 if it has none."""
         response = await self.client.get(f"http://{address}/metrics")
         text = (await treq.content(response)).decode()
         for line in text.splitlines():
@@ -123,15 +126,19 @@
         return 0.0
 
 
-def steady_prompts(lane: int) -> list[Prompt]:
-    """Return short prompts at a steady rate."""
+def steady_prompts(run_number: int) -> list[Prompt]:
+    """Return prompts with short answers at a steady rate.
+
+    Args:
+      run_number: Part of the prompts, so that those of two runs differ.
+    """
     return [
         Prompt(
             number=number,
             time_s=number / RATE_PER_S,
             account=ACCOUNT,
             text=workload.level(f"bench {number % TOPICS}", PROMPT_TOKENS)
-            + f"{lane} {number}",
+            + f"{run_number} {number}",
             answer_tokens=SHORT_ANSWER_TOKENS,
         )
         for number in range(int(RATE_PER_S * SECONDS))
@@ -139,7 +146,7 @@
 
 
 def stream_prompts() -> list[Prompt]:
-    """Return prompts whose answers are streamed at the same time."""
+    """Return prompts whose long answers are streamed concurrently."""
     return [
         Prompt(
             number=number,
@@ -158,7 +165,7 @@
 
 
 def first_chunk_line(name: str, results: Results) -> str:
-    """Return the times to the first token as text."""
+    """Return a line of text on the answers and times to the first token."""
     return (
         f"{name}: {results.answered} answered, time to first token p50 "
         f"{quantile_ms(results, 0.5):.2f} ms, p99 "
--- a/sequoiawind/lab/http_load.py
+++ b/sequoiawind/lab/http_load.py
@@ -1,4 +1,4 @@
-"""Sending a workload to real routers, and measuring the answers."""
+"""Sends a workload to real routers over HTTP and measures the answers."""
 
 import itertools
 import time
@@ -19,7 +19,7 @@
 
 @attrs.define(kw_only=True)
 class Results:
-    """What a run measured."""
+    """The measurements of a run."""
 
     # Seconds from sending to the first chunk.
     first_chunk_s: list[float] = attrs.field(factory=list)
@@ -33,7 +33,7 @@
 
     @property
     def hit_rate(self) -> float:
-        """Share of the prompt tokens that were cached."""
+        """The share of prompt tokens that were cached."""
         return self.cached_tokens / max(1, self.prompt_tokens)
 
     def lines(self) -> list[str]:
@@ -56,18 +56,18 @@
         ]
 
     def between_p95_ms(self) -> float:
-        """Return the 95th percentile between chunks, in milliseconds."""
+        """Return the p95 of the time between chunks, in milliseconds."""
         return workload.quantile(self.between_s, 0.95) * 1000.0
 
 
 @attrs.define(kw_only=True)
 class LoadRun:
-    """Sends prompts to routers, in turn, at their times."""
+    """Sends each prompt at its time, to the routers in turn."""
 
     client: HTTPClient
     # Addresses as host:port.
     routers: Sequence[str]
-    # Bearer tokens by account; an absent account uses its name's.
+    # Model named in every request.
     model: str
     results: Results = attrs.field(factory=Results)
 
@@ -86,7 +86,7 @@
         return self.results
 
     async def send(self, prompt: Prompt, router: str) -> None:
-        """Send one prompt and measure its answer."""
+        """Send one prompt, authorized by its account's token."""
         body = {
             "model": self.model,
             "prompt": prompt.text,
@@ -104,7 +104,7 @@
             },
             on_event=answer.event,
             on_refused=answer.refused,
-            on_lost=answer.lost,
+            on_lost=answer.stream_ended,
         )
         call.start()
         await answer.done
@@ -112,7 +112,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Answer:
-    """One answer as it arrives."""
+    """Measures and checks one streamed answer."""
 
     results: Results
     prompt: Prompt
@@ -123,7 +123,7 @@
     done: Deferred[None] = attrs.field(factory=Deferred)
 
     def event(self, event: sse.Event) -> None:
-        """Take a chunk."""
+        """Record a chunk and its time, or the code of an error event."""
         now_s = time.monotonic()
         if event.data.startswith(b'{"error"'):
             error = openai_format.decode(event.data)["error"]
@@ -137,17 +137,17 @@
         self.chunks.append(event.data)
 
     def refused(self, failure: Failure) -> None:
-        """Count a refusal."""
+        """Count a request that got no event stream."""
         self.results.refusals[refusal_code(failure)] += 1
         self.done.callback(None)
 
-    def lost(self) -> None:
-        """Check the answer at the end of the stream."""
+    def stream_ended(self) -> None:
+        """Check the answer once its stream has ended."""
         self.check()
         self.done.callback(None)
 
     def check(self) -> None:
-        """Compare the answer with the expected one."""
+        """Compare the answer with the expected one and count its tokens."""
         if self.error:
             self.results.refusals[self.error] += 1
             return
@@ -166,7 +166,7 @@
 
 
 def refusal_code(failure: Failure) -> str:
-    """Return the reason in an error reply of a router."""
+    """Return the code in a router's error reply, or else the reason."""
     marker = '"code":"'
     if marker in failure.detail:
         return failure.detail.split(marker)[1].split('"')[0]
--- a/sequoiawind/lab/load_main.py
+++ b/sequoiawind/lab/load_main.py
@@ -1,4 +1,4 @@
-"""The program `sequoiawind-load`: load, experiments and proofs."""
+"""The program `sequoiawind-load`: load, benchmarks, experiments and soak."""
 
 import argparse
 import sys
@@ -21,14 +21,14 @@
 )
 from sequoiawind.lab.http_load import LoadRun
 
-PURPOSE: Final = "Load routers, compare policies, and look for faults."
+PURPOSE: Final = "Load routers, compare policies, and search for faults."
 
-# Patience of each deployment's route.
+# Patience of each deployment's policy.
 PATIENCE: Final = {"nordlys": 4.0, "petra": 8.0}
 
 
 def main() -> None:
-    """Run the program."""
+    """Run the action that the command line names."""
     args = make_parser().parse_args()
     if args.action == "run":
         sys.exit(run_load(args))
@@ -51,7 +51,7 @@
 
 
 def make_parser() -> argparse.ArgumentParser:
-    """Return the parser of the command line."""
+    """Return the command-line parser."""
     parser = command_line.parser("sequoiawind-load", PURPOSE)
     actions = parser.add_subparsers(dest="action", required=True)
     run = actions.add_parser("run", help="send a workload to routers")
@@ -60,7 +60,7 @@
         "--deployment", choices=sorted(workload.DEPLOYMENTS), required=True
     )
     run.add_argument("--model", required=True)
-    run.add_argument("--rate", type=float, help="requests a second")
+    run.add_argument("--rate", type=float, help="requests per second")
     run.add_argument("--seconds", type=float, default=10.0)
     run.add_argument("--seed", type=int, default=1)
     bench = actions.add_parser("bench", help="measure added time and relaying")
@@ -73,14 +73,16 @@
     )
     soak_parser.add_argument("--seed", type=int, default=1)
     soak_parser.add_argument("--seeds", type=int, default=1)
-    actions.add_parser("mutants", help="check that the soak finds faults")
+    actions.add_parser(
+        "mutants", help="check that the soak detects each mutant"
+    )
     experiment = actions.add_parser(
         "experiment", help="compare placements on the same workloads"
     )
     experiment.add_argument("--seeds", type=int, default=10)
     experiment.add_argument("--workers", type=int, default=6)
     experiment.add_argument("--out", default="docs/measurements")
-    actions.add_parser("slopes", help="measure how costs grow with sizes")
+    actions.add_parser("slopes", help="measure how costs grow with size")
     return parser
 
 
@@ -94,23 +96,31 @@
 
 
 def run_soak(args: argparse.Namespace) -> int:
-    """Run the soak's seeds and print what they found."""
-    red = 0
+    """Run the soak with a range of seeds and print the violations.
+
+    Returns:
+      The exit code: 1 if any seed found a violation.
+    """
+    failed_seeds = 0
     for seed in range(args.seed, args.seed + args.seeds):
         violations, counts = soak.run_seed(seed)
         forward_violations, forward_counts = forward_soak.run_seed(seed)
         violations = violations + forward_violations
         counts = {**counts, **forward_counts}
-        done = ", ".join(f"{key} {counts[key]}" for key in sorted(counts))
-        print(f"seed {seed}: {len(violations)} violations; {done}")
+        totals = ", ".join(f"{key} {counts[key]}" for key in sorted(counts))
+        print(f"seed {seed}: {len(violations)} violations; {totals}")
         for violation in violations:
             print(f"  {violation}")
-        red += bool(violations)
-    return 1 if red else 0
+        failed_seeds += bool(violations)
+    return 1 if failed_seeds else 0
 
 
 def run_mutants() -> int:
-    """Break one mechanism at a time; each must be found."""
+    """Run the soak against each mutant and print which were detected.
+
+    Returns:
+      The exit code: 1 if any mutant was not detected.
+    """
     missed = 0
     for mutant in (*mutants.MUTANTS, *forward_mutants.MUTANTS):
         seed, violation = mutants.hunt(mutant)
@@ -123,7 +133,11 @@
 
 
 def run_load(args: argparse.Namespace) -> int:
-    """Send a workload and print what was measured."""
+    """Send a workload and print the measurements.
+
+    Returns:
+      The exit code: 1 if any answer was wrong.
+    """
     shape = workload.DEPLOYMENTS[args.deployment]
     if args.rate:
         shape = attrs.evolve(shape, rate_per_s=args.rate)
@@ -141,18 +155,18 @@
 
 
 def run_in_reactor(coroutine: Any) -> Any:
-    """Run a coroutine in the reactor and return its result."""
-    outcome: list[Any] = []
+    """Run the reactor until a coroutine ends; return its result or raise."""
+    results: list[Any] = []
 
-    def keep(result: Any) -> None:
-        outcome.append(result)
+    def stop(result: Any) -> None:
+        results.append(result)
         event_loop.reactor.stop()
 
     def start() -> None:
-        Deferred.fromCoroutine(coroutine).addBoth(keep)
+        Deferred.fromCoroutine(coroutine).addBoth(stop)
 
     event_loop.reactor.callWhenRunning(start)
     event_loop.reactor.run()
-    if hasattr(outcome[0], "raiseException"):
-        outcome[0].raiseException()
-    return outcome[0]
+    if hasattr(results[0], "raiseException"):
+        results[0].raiseException()
+    return results[0]
--- a/sequoiawind/lab/slopes.py
+++ b/sequoiawind/lab/slopes.py
@@ -1,7 +1,8 @@
-"""Measuring how the costs of each role grow with its sizes.
+"""Measures how the costs of each role grow with its sizes.
 
-Each slope is a least-squares line through four sizes or more, with the
-largest deviation from it.  ``docs/CAPACITY.md`` works with the results.
+Each slope is that of a least-squares line through four sizes or more, given
+with the largest deviation from the line.  ``docs/CAPACITY.md`` uses the
+results.
 """
 
 import random
@@ -50,10 +51,10 @@
 
 @attrs.frozen(kw_only=True)
 class Slope:
-    """A line through measurements."""
+    """A least-squares line through measurements."""
 
     name: str
-    # What a size counts, and the unit of the values.
+    # What a size counts, such as "account", and the unit of the values.
     per: str
     unit: str
     sizes: tuple[int, ...]
@@ -61,7 +62,7 @@
 
     @property
     def line(self) -> tuple[float, float]:
-        """The least-squares slope and the value at size 0."""
+        """The slope of the line and its value at size 0."""
         count = len(self.sizes)
         mean_x = sum(self.sizes) / count
         mean_y = sum(self.values) / count
@@ -75,7 +76,7 @@
 
     @property
     def residual(self) -> float:
-        """The largest deviation from the line, as a share of the value."""
+        """The largest deviation from the line, relative to the value."""
         slope, start = self.line
         return max(
             abs(y - (start + slope * x)) / max(abs(y), 1e-12)
@@ -111,13 +112,13 @@
         value_slope("VM list", "VM", "B", TARGET_SIZES, vm_list_b),
         value_slope("prompt's probe", "block", "B", (8, 16, 32, 64), probe_b),
         time_slope("prompt hashed", (8, 16, 32, 64), chain_of),
-        time_slope("limits told and heard", ACCOUNT_SIZES, limits_round),
+        time_slope("account limits exchanged", ACCOUNT_SIZES, limits_round),
         value_slope(
             "change in force on the last daemon",
             "daemon",
             "s",
             DAEMON_SIZES,
-            spread_s,
+            propagation_s,
         ),
         value_slope(
             "reads of the log", "daemon", "/s", DAEMON_SIZES, reads_per_s
@@ -126,7 +127,7 @@
 
 
 def best_time_us(action: Callable[[], object]) -> float:
-    """Return the shortest of several runs, in microseconds."""
+    """Return the time of the shortest of several runs, in microseconds."""
     times: list[float] = []
     for _ in range(REPEATS):
         began = time.perf_counter()
@@ -138,7 +139,7 @@
 def time_slope(
     name: str, sizes: Sequence[int], make: Callable[[int], object]
 ) -> Slope:
-    """Measure how long something takes at each size."""
+    """Measure how long it takes to call a function with each size."""
     values = tuple(best_time_us(lambda n=n: make(n)) for n in sizes)  # type: ignore[misc]
     return Slope(
         name=name, per="item", unit="us", sizes=tuple(sizes), values=values
@@ -148,14 +149,14 @@
 def memory_slope(
     name: str, sizes: Sequence[int], make: Callable[[int], object]
 ) -> Slope:
-    """Measure how much memory something holds at each size."""
+    """Measure the memory of what a function returns for each size."""
     values: list[float] = []
     for size in sizes:
         tracemalloc.start()
-        held = make(size)
+        result = make(size)
         values.append(float(tracemalloc.get_traced_memory()[0]))
         tracemalloc.stop()
-        del held
+        del result
     return Slope(
         name=name,
         per="item",
@@ -172,7 +173,7 @@
     sizes: Sequence[int],
     value: Callable[[int], float],
 ) -> Slope:
-    """Measure a value at each size."""
+    """Measure the value that a function returns for each size."""
     values = tuple(value(size) for size in sizes)
     return Slope(
         name=name, per=per, unit=unit, sizes=tuple(sizes), values=values
@@ -180,7 +181,7 @@
 
 
 def config_of(accounts: int) -> Folded:
-    """Return a configuration with a number of accounts."""
+    """Return a configuration folded from a number of accounts."""
     folded = Folded()
     for number in range(accounts):
         command = Create(
@@ -194,22 +195,22 @@
 
 
 def snapshot_b(accounts: int) -> float:
-    """Return the size of a snapshot."""
+    """Return the size of a snapshot, in bytes."""
     return float(len(config_fold.snapshot(config_of(accounts))))
 
 
-_configs: Final[dict[int, Folded]] = {}
+_configs_by_size: Final[dict[int, Folded]] = {}
 
 
 def snapshot_round(accounts: int) -> object:
     """Make a snapshot and restore it."""
-    if accounts not in _configs:
-        _configs[accounts] = config_of(accounts)
-    return config_fold.restore(config_fold.snapshot(_configs[accounts]))
+    if accounts not in _configs_by_size:
+        _configs_by_size[accounts] = config_of(accounts)
+    return config_fold.restore(config_fold.snapshot(_configs_by_size[accounts]))
 
 
 def claim_records(count: int) -> list[str]:
-    """Return claims and their outcomes."""
+    """Return the records of a number of claims and their outcomes."""
     records: list[str] = []
     reply = Reply(status=200, content_type="application/json", body="e30=" * 20)
     for number in range(count):
@@ -230,28 +231,28 @@
     return records
 
 
-_claims: Final[dict[int, list[str]]] = {}
+_claim_records_by_size: Final[dict[int, list[str]]] = {}
 
 
 def claims_of(count: int) -> ClaimTable:
-    """Return the fold of a number of claims."""
-    if count not in _claims:
-        _claims[count] = claim_records(count)
+    """Return a claim table folded from a number of claims."""
+    if count not in _claim_records_by_size:
+        _claim_records_by_size[count] = claim_records(count)
     table = ClaimTable()
-    for offset, record in enumerate(_claims[count]):
+    for offset, record in enumerate(_claim_records_by_size[count]):
         table.fold(offset, 1e9, record)
     return table
 
 
 def placement_slope() -> Slope:
-    """Measure the time to put candidates in order."""
+    """Measure the time to rank candidates."""
     values: list[float] = []
     for count in TARGET_SIZES:
-        made = [Candidate(name=f"e{n}", address="") for n in range(count)]
+        candidates = [Candidate(name=f"e{n}", address="") for n in range(count)]
         values.append(
             best_time_us(
-                lambda made=made: [  # type: ignore[misc]
-                    placement.rank(key, made) for key in range(200)
+                lambda candidates=candidates: [  # type: ignore[misc]
+                    placement.rank(key, candidates) for key in range(200)
                 ]
             )
             / 200
@@ -266,7 +267,7 @@
 
 
 def index_of(blocks: int) -> CacheIndex:
-    """Return an index that has followed events of one block each."""
+    """Return a cache index after events of one block each."""
     index = CacheIndex(incarnation="i")
     source = random.Random(1)
     for sequence in range(blocks):
@@ -276,7 +277,7 @@
 
 
 def tracker_of(prefixes: int) -> SharingTracker:
-    """Return a tracker that has seen a number of prefixes."""
+    """Return a sharing tracker that has counted a number of prefixes."""
     tracker = SharingTracker()
     for number in range(prefixes // 10):
         chain = [number * 10 + depth for depth in range(10)]
@@ -285,13 +286,13 @@
 
 
 def demand_b(accounts: int) -> float:
-    """Return the size of a demand message."""
+    """Return the size of a demand message, in bytes."""
     demand = {f"account-{number}": 12.34 for number in range(accounts)}
     return float(len(wire.encode(DemandMessage(router="r", demand=demand))))
 
 
 def vm_list_b(vms: int) -> float:
-    """Return the size of the VM list."""
+    """Return the size of the VM list, in bytes."""
     entries = [
         VmEntry(vm=f"vm-{number}", state="live") for number in range(vms)
     ]
@@ -299,7 +300,7 @@
 
 
 def probe_b(blocks: int) -> float:
-    """Return the size of a probe."""
+    """Return the size of a probe, in bytes."""
     source = random.Random(1)
     probe = wire.Probe(
         target="e1",
@@ -314,12 +315,12 @@
 
 
 def chain_of(blocks: int) -> list[int]:
-    """Return the chain of a prompt of a number of blocks."""
+    """Return the hash chain of a prompt of a number of blocks."""
     return prefix.chain("salt", b"x" * 1024 * blocks)
 
 
 def limits_round(accounts: int) -> object:
-    """Admit a request of each account, tell, and hear."""
+    """Admit a request of each account and exchange demand with a peer."""
     limits = AccountLimits(routers=12)
     for number in range(accounts):
         limits.admit(Account(name=f"account-{number}"), 0.0)
@@ -356,8 +357,8 @@
         """Start one daemon."""
         Deferred.fromCoroutine(follower.run())
 
-    def spread_s(self, number: int) -> float:
-        """Return how long a change takes to the last daemon."""
+    def propagation_s(self, number: int) -> float:
+        """Return how long a change takes to reach the last daemon."""
         record = config_fold.make_record(
             f"c{number}", "ops", Create(table="kinds", name=f"k{number}")
         )
@@ -370,14 +371,14 @@
         return self.clock.seconds() - began_s
 
 
-def spread_s(daemons: int) -> float:
-    """Return the longest spread of several changes, in seconds."""
+def propagation_s(daemons: int) -> float:
+    """Return the longest propagation of several changes, in seconds."""
     followers = Followers(count=daemons)
-    return max(followers.spread_s(number) for number in range(CHANGES))
+    return max(followers.propagation_s(number) for number in range(CHANGES))
 
 
 def reads_per_s(daemons: int) -> float:
-    """Return how often idle daemons read the log, a second."""
+    """Return how often idle daemons read the log, per second."""
     followers = Followers(count=daemons)
     before = followers.log.reads
     followers.clock.advance_to(followers.clock.seconds() + 60.0)
