--- a/examples/bench.sh
+++ b/examples/bench.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Speed on this machine: added time to the first token, relaying, idle memory
-# with 1,400 client accounts, and a start while the log is down.
+# Benchmarks on this machine: added time to the first token, relaying, idle
+# memory with 1,400 client accounts, and a start while the log is down.
+# Argument: the folder of the installed programs.
 set -euo pipefail
 bin=$1
 source "$(dirname "$0")/system.sh"
 engine_args=(--step 0.002 --prefill-token 0.0000001 --decode-sequence 0 --max-batch 256)
 more_accounts=1384
 agent_max_running=256
-# As fast as the engine stand-ins are here.
+# The prefill speed of the engine stand-ins with these arguments.
 agent_prefill_tokens_per_s=10000000.0
 start_system
 
--- a/examples/call.py
+++ b/examples/call.py
@@ -1,4 +1,4 @@
-"""Make one HTTP call and print the reply, for the demo."""
+"""Sends one HTTP request and prints the reply, for the demo."""
 
 import argparse
 import urllib.request
@@ -7,7 +7,7 @@
 
 
 def main() -> None:
-    """Make the call."""
+    """Send the request that the command line describes."""
     parser = argparse.ArgumentParser()
     parser.add_argument("url")
     parser.add_argument("--header", action="append", default=[])
--- a/examples/demo.sh
+++ b/examples/demo.sh
@@ -1,8 +1,10 @@
 #!/usr/bin/env bash
-# The whole system as separate processes on loopback: log, VM list, three
-# engines in three failure domains, a plain service, their agents and two
-# routers.  Sends the prompts of both deployments, books one fuel drop twice
-# with one key, drains an engine under load, and prints what was measured.
+# Runs the whole system as separate processes on loopback: log, VM list, weight
+# store, three engines in three failure domains, a plain service, their agents
+# and two routers.  Sends the prompts of both deployments, books one fuel drop
+# twice with one key, drains an engine under load, loads new weights, and prints
+# what was measured.
+# Argument: the folder of the installed programs.
 set -euo pipefail
 bin=$1
 source "$(dirname "$0")/system.sh"
--- a/examples/first_answer.py
+++ b/examples/first_answer.py
@@ -1,4 +1,7 @@
-"""Ask a router until it answers, and print how long that took."""
+"""Repeats a request until a router answers, and prints how long that took.
+
+Arguments: the time to count from, in seconds since the epoch, and the URL.
+"""
 
 import json
 import sys
@@ -11,7 +14,7 @@
 
 
 def main() -> None:
-    """Ask until there is an answer."""
+    """Repeat the request until it is answered; fail after all tries."""
     began_s = float(sys.argv[1])
     body = {"model": "polar-briefing", "prompt": "first", "max_tokens": 1}
     request = urllib.request.Request(
@@ -26,7 +29,7 @@
                 return
         except (urllib.error.URLError, OSError):
             time.sleep(PAUSE_S)
-    sys.exit("no answer")
+    sys.exit("the router did not answer")
 
 
 if __name__ == "__main__":
--- a/examples/system.sh
+++ b/examples/system.sh
@@ -1,5 +1,6 @@
-# Functions that start the whole system as separate processes on loopback; for
-# demo.sh and bench.sh, which set $bin and source this file.
+# Functions that start the whole system as separate processes on loopback.
+# demo.sh and bench.sh set $bin, the folder of the programs, and source this
+# file.
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
 pids=()
@@ -9,10 +10,11 @@
   rm -rf "$work"
 }
 trap stop_all EXIT
-# Two systems started at the same time should not meet.
+# The ports depend on the process ID, so that two systems started at the same
+# time should not collide.
 base=${DEMO_PORT:-$((18000 + ($$ % 200) * 50))}
 secret=demo-secret-0123456789
-# Further arguments of the engine stand-ins.
+# Additional arguments of the engine stand-ins.
 engine_args=()
 # Client accounts beyond the 16 that the workloads use.
 more_accounts=0
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""How the package is laid out: who imports whom, and module length."""
+"""Tests of the package layout: imports between modules, and module length."""
 
 import ast
 import re
@@ -9,7 +9,7 @@
 import sequoiawind
 
 PACKAGE = Path(sequoiawind.__file__).parent
-DECISIONS = (
+DECISION_MODULES = (
     "admission",
     "agent",
     "cache_index",
@@ -44,7 +44,7 @@
 TRANSPORTS = ("treq", "klein", "twisted.web", "sequoiawind.http", "socket")
 MAX_LINES = 500
 MAX_ADAPTER_LINES = 250
-# Names of the platform, which only its adapter knows.
+# Patterns of the platform's names, which only its adapter may contain.
 PLATFORM_NAMES = (
     r"(?i)[^-]sequoiawind-(attempt|deadline|tenant|cache-salt|expect|server)",
     r"/api/",
@@ -55,10 +55,10 @@
 
 
 class LayoutTest(TestCase):
-    """Decisions know no transport; modules stay small."""
+    """Decision code is free of transports and adapters; modules are short."""
 
     def test_decisions_import_no_transport(self) -> None:
-        for name in DECISIONS:
+        for name in DECISION_MODULES:
             text = (PACKAGE / f"{name}.py").read_text(encoding="utf-8")
             for node in ast.walk(ast.parse(text)):
                 names: list[str] = []
@@ -96,7 +96,7 @@
                 found = re.search(pattern, text)
                 self.assertEqual(None, found, (file.name, pattern))
 
-    def test_adapter_decides_nothing(self) -> None:
+    def test_adapter_is_short_without_timers_or_randomness(self) -> None:
         for file in (PACKAGE / "platform").glob("*.py"):
             text = file.read_text(encoding="utf-8")
             lines = len(text.splitlines())
@@ -104,7 +104,7 @@
             for word in ("callLater", "random", "sleep"):
                 self.assertNotIn(word, text, file.name)
 
-    def test_decisions_know_no_adapter(self) -> None:
-        for name in DECISIONS:
+    def test_decisions_import_no_adapter(self) -> None:
+        for name in DECISION_MODULES:
             text = (PACKAGE / f"{name}.py").read_text(encoding="utf-8")
             self.assertNotIn("sequoiawind.platform", text, name)
