--- a/sequoiawind/lab/engine_model.py
+++ b/sequoiawind/lab/engine_model.py
@@ -70,6 +70,7 @@
     sink: Sink
     chain: list[int]
     hit_blocks: int
+    # Prompt tokens left to compute; -1 before the cache lookup.
     prefill_left: int
     prompt_tokens: int
     seed: int
@@ -117,6 +118,7 @@
     loading: bool = False
     # Version being loaded; empty if none is.
     target_version: str = ""
+    # Largest fencing number accepted.
     fencing: int = -1
     cache: OrderedDict[int, str] = attrs.field(factory=OrderedDict)
     waiting: list[Generation] = attrs.field(factory=list)
--- a/sequoiawind/lab/experiment.py
+++ b/sequoiawind/lab/experiment.py
@@ -23,7 +23,7 @@
 from sequoiawind.router import Handling
 from sequoiawind.wire import Ended
 
-SHIPPED: Final = "sequoiawind"
+PRODUCTION_POLICY: Final = "sequoiawind"
 WARM_UP_S: Final = 20.0
 DURATION_S: Final = 80.0
 DRAIN_S: Final = 30.0
@@ -141,7 +141,7 @@
 
     def placer_factory(self) -> Callable[..., Placer]:
         """Return the factory of the policy's placer."""
-        if self.policy == SHIPPED:
+        if self.policy == PRODUCTION_POLICY:
             return ProbingPlacer
         kind = policies.BASELINES[self.policy]
         return partial(kind, engine_of=self.engine)
--- a/sequoiawind/lab/experiment_report.py
+++ b/sequoiawind/lab/experiment_report.py
@@ -15,14 +15,14 @@
 from sequoiawind import wire
 from sequoiawind.lab import policies, workload
 from sequoiawind.lab.experiment import (
+    PRODUCTION_POLICY,
     SCENARIOS,
-    SHIPPED,
     Experiment,
     Outcome,
     Scenario,
 )
 
-POLICIES: Final = (*policies.BASELINES, SHIPPED)
+POLICIES: Final = (*policies.BASELINES, PRODUCTION_POLICY)
 Group = tuple[str, str, str]
 
 
--- a/sequoiawind/lab/standin_http.py
+++ b/sequoiawind/lab/standin_http.py
@@ -70,7 +70,7 @@
         else:
             self.request.loseConnection()
 
-    def disconnected(self, call: Call) -> None:
+    def connection_ended(self, call: Call) -> None:
         """Cancel the sequence if the connection ended before the response."""
         if not self.is_over:
             self.is_over = True
@@ -105,7 +105,7 @@
         sink = EngineSink(request=request)
         done = http_server.ended(request)
         call = self.engine.open("", attempt, sink)
-        done.addCallback(lambda _: sink.disconnected(call))
+        done.addCallback(lambda _: sink.connection_ended(call))
         return done
 
     def events(self, request: server.Request) -> bytes:
@@ -209,7 +209,7 @@
         self.request.write(wire.decode_body(ended.reply.body))
         self.request.finish()
 
-    def disconnected(self) -> None:
+    def connection_ended(self) -> None:
         """Write no reply any more: the connection has ended."""
         self.is_over = True
 
@@ -243,7 +243,7 @@
             idempotency_key=http_server.header(request, http_server.KEY_HEADER),
         )
         self.model.open("", attempt, sink)
-        done.addCallback(lambda _: sink.disconnected())
+        done.addCallback(lambda _: sink.connection_ended())
         return done
 
     def executions(self, request: server.Request) -> bytes:
