--- a/sequoiawind/limits.py
+++ b/sequoiawind/limits.py
@@ -31,9 +31,9 @@
     # When `tokens` was last updated, in seconds.
     updated_s: float
     open_requests: int = 0
-    # Requests seen since the last exchange, admitted or not.
+    # Requests seen in the current period, admitted or not.
     seen: int = 0
-    # Requests a second, averaged over exchanges.
+    # Requests a second, averaged over periods.
     demand: float = 0.0
     # The account's limit, in requests a second.
     rate_per_s: float = 0.0
--- a/tests/test_stream_move.py
+++ b/tests/test_stream_move.py
@@ -126,7 +126,7 @@
             self.go_on(3)
             self.assertEqual(events(1, 2, 3), caller.body)
 
-    def test_stream_refused_by_the_goal_is_resumed(self) -> None:
+    def test_stream_refused_by_the_destination_is_resumed(self) -> None:
         caller = self.begin()
         self.answer()
         self.first.sink.failed(LOST)
