--- a/sequoiawind/blackboard.py
+++ b/sequoiawind/blackboard.py
@@ -1,7 +1,7 @@
 """The blackboard: state that the controllers of one process share.
 
 Controllers communicate by reading and writing it and never call each other.
-Comments on the fields name the one component that writes them.
+Comments on the fields name the components that write them.
 """
 
 from collections import OrderedDict
@@ -26,6 +26,7 @@
     account: str
     route: str
     kind: str
+    # When the request arrived, in seconds of the clock.
     began_s: float
     state: str = "running"
     verdict: str = ""
@@ -34,6 +35,8 @@
     path: list[str] = attrs.field(factory=list)
     # Id of the last attempt.
     attempt_id: str = ""
+    # Blocks of the prefix that the prompt was placed by, and the number of
+    # targets over which that prefix is spread.
     depth_blocks: int = 0
     holders: int = 0
     prompt_tokens: int = 0
@@ -41,6 +44,7 @@
     # Dropped chunks: those of other attempts, and repeated ones.
     foreign_chunks: int = 0
     repeated_chunks: int = 0
+    # In seconds of the clock; negative before the event.
     first_chunk_s: float = -1.0
     ended_s: float = -1.0
 
@@ -49,14 +53,16 @@
 class Blackboard:
     """State shared by the controllers of one process."""
 
-    # Written by the configuration follower.
+    # Written by the configuration follower, the peer client (a first
+    # configuration) and, in forwarding processes, the operator reader.
     folded: Folded = attrs.field(factory=Folded)
     # When the configuration was last known to be current, in seconds of the
     # clock; negative if never.
     config_checked_s: float = -1.0
-    # Written by the exchanges and the watcher of the VM list.
+    # Written by the exchanges, the placer and the watcher of the VM list.
     members: Members = attrs.field(factory=Members)
-    # Written by the router.
+    # Written by the router's request path; `limits` also by the exchange of
+    # demand with other routers.
     limits: AccountLimits = attrs.field(factory=AccountLimits)
     budgets: RetryBudgets = attrs.field(factory=RetryBudgets)
     sharing: SharingTracker = attrs.field(factory=SharingTracker)
@@ -93,14 +99,14 @@
         }
 
     def offer_config(self, folded: Folded) -> bool:
-        """Put a configuration in force if it is newer; whether it was."""
+        """Put a configuration in force; return False if it is not newer."""
         if folded.next_offset <= self.folded.next_offset:
             return False
         self.put_config(folded)
         return True
 
     def note_request(self, note: RequestNote) -> None:
-        """Add a request, and evict the oldest above the limit."""
+        """Add a request; evict the oldest ones beyond the limit."""
         self.requests[note.request_id] = note
         while len(self.requests) > defaults.MAX_EXPLAINED_REQUESTS:
             self.requests.popitem(last=False)
--- a/sequoiawind/config_fold.py
+++ b/sequoiawind/config_fold.py
@@ -18,6 +18,7 @@
 from sequoiawind.commands import CommandRecord
 from sequoiawind.state import CHOICES, REFERENCES, TABLES, Entry, State
 
+# A folded state keeps at most this many decisions, the latest ones.
 DECISIONS_KEPT: Final = 512
 
 
@@ -38,10 +39,11 @@
     state: State = attrs.field(factory=State)
     # Offset of the next record to fold.
     next_offset: int = 0
+    # The latest decisions, the oldest first.
     decisions: tuple[Decision, ...] = ()
 
     def decision(self, command_id: str) -> Decision | None:
-        """Return the decision on a command; None if it is not known."""
+        """Return the decision on a command; None if none is kept."""
         for decision in reversed(self.decisions):
             if decision.id == command_id:
                 return decision
@@ -273,7 +275,7 @@
 
 
 def restore(data: str | bytes) -> Folded | None:
-    """Return the state in a snapshot; None if it is damaged."""
+    """Decode a snapshot; None if it is damaged or of an unknown version."""
     try:
         body = wire.decode(data, Snapshot)
     except wire.WireError:
@@ -282,10 +284,11 @@
 
 
 def verify_snapshot(body: "Snapshot") -> Folded | None:
-    """Return the state in a decoded snapshot.
+    """Return the folded state in a decoded snapshot.
 
     Returns:
-      The state; None if the snapshot's version or digest does not match.
+      The folded state; None if the snapshot's version is unknown or its digest
+      does not match.
     """
     if body.v != defaults.RECORD_VERSION:
         return None
--- a/sequoiawind/config_follower.py
+++ b/sequoiawind/config_follower.py
@@ -28,7 +28,7 @@
     log: LogPort
     clock: Clock
     random: random.Random
-    # Wall clock in seconds since the epoch, comparable to record times.
+    # Wall clock in seconds since the epoch, to compare with record times.
     wall: Callable[[], float]
     retention_s: float = defaults.LOG_RETENTION_S
     poll_s: float = defaults.CONFIG_POLL_S
@@ -83,7 +83,7 @@
                 return Ok(self.board.folded.next_offset)
 
     def fold_records(self, records: list[LogRecord]) -> None:
-        """Fold the records that follow on, and put the result in force."""
+        """Fold the next records, skip others, and put the result in force."""
         folded = self.board.folded
         revision = folded.state.revision
         for record in records:
@@ -119,7 +119,7 @@
         """Apply a snapshot if it is newer than the configuration in force.
 
         Returns:
-          Whether it could be read.
+          Whether the snapshot could be decoded.
         """
         folded = config_fold.restore(record.data)
         if folded is None:
--- a/sequoiawind/members.py
+++ b/sequoiawind/members.py
@@ -37,12 +37,13 @@
 class Health:
     """The health and load of one target, as calls to it have shown."""
 
+    # Failures in a row, and ejections since the last success.
     failures: int = 0
     ejections: int = 0
     # The target gets no new work until then, in seconds of the clock.
     ejected_until_s: float = 0.0
     load: LoadReport = attrs.field(factory=LoadReport)
-    # When `load` was received; negative if never.
+    # When `load` was received, in seconds of the clock; negative if never.
     load_time_s: float = -1.0
     # Attempts of this process in progress at the target.
     open_attempts: int = 0
@@ -50,7 +51,7 @@
     failure_share: float = 0.0
 
     def note_outcome(self, is_failure: bool) -> None:
-        """Count an attempt into the moving average."""
+        """Update `failure_share` with the outcome of an attempt."""
         step = float(is_failure) - self.failure_share
         self.failure_share += step * defaults.FAILURE_SHARE_WEIGHT
 
@@ -160,9 +161,9 @@
     ) -> dict[str, float]:
         """Return the expected wait at each candidate, in seconds.
 
-        A report that is too old is ignored.  The open attempts of this process
-        add to the wait, so that a lagging report does not draw all requests
-        to one target.
+        A report that is too old is ignored.  Each open attempt of this process
+        adds a millisecond, so that a lagging report does not draw all requests
+        to one target.  Candidates without a health record are left out.
         """
         waits: dict[str, float] = {}
         for candidate in candidates:
--- a/sequoiawind/state.py
+++ b/sequoiawind/state.py
@@ -1,7 +1,8 @@
 """The configuration as operators have set it, an immutable value.
 
-A :class:`State` has one mapping for each table, from names to entries.  New
-states are made only by ``config_fold``.
+A :class:`State` has one mapping for each table, from names to entries.  It is
+never changed in place: ``config_fold`` builds a new state for each accepted
+command.
 """
 
 from collections.abc import Mapping
@@ -21,6 +22,7 @@
     token_digest: str = ""
     # Share of a target under contention, relative to other accounts.
     weight: float = 1.0
+    # Limits over all routers: requests per second, and open requests.
     rate_per_s: float = 1000.0
     concurrency: int = 1000
 
@@ -40,6 +42,8 @@
     """A kind of request: its priority and whether it may be repeated."""
 
     name: str
+    # A larger priority gets a larger share of a target; only in `ForwardKind`,
+    # 0 is the most urgent.
     priority: int = 5
     # "idempotent" or "never".
     repeat: str = "idempotent"
@@ -71,7 +75,9 @@
     pool: str = ""
     # Address of the agent, as host:port.
     agent: str = ""
+    # Failure domain.
     domain: str = ""
+    # Name in the platform's list of VMs.
     vm: str = ""
     # Reason why an operator drained the target; empty while admitted.
     drained: str = ""
@@ -85,6 +91,7 @@
     # Wait accepted for a warm target, as a multiple of the time that
     # recomputing the missed prefix elsewhere would take.
     patience: float = defaults.PATIENCE
+    # Greatest number of targets over which one prefix is spread.
     max_holders: int = defaults.MAX_HOLDERS
 
 
@@ -93,6 +100,7 @@
     """Maps requests by path, and by model if set, to a pool."""
 
     name: str
+    # Covers the paths below it, too.
     path: str = ""
     model: str = ""
     pool: str = ""
