--- a/sequoiawind/cache_watcher.py
+++ b/sequoiawind/cache_watcher.py
@@ -24,7 +24,7 @@
 # How long a cache may wait for a change, in seconds (long poll); requests with
 # a shorter wait count as probes.
 WAIT_S: Final = 0.9
-# Time allowed for a response beyond that, in seconds.
+# Time allowed for a response, in seconds, in addition to the wait.
 RESPONSE_MARGIN_S: Final = 0.5
 # Pause between two requests, in seconds, so that one response carries several
 # changes.
@@ -41,13 +41,15 @@
 
     address: str
     held: HeldParts
+    # Changes when the cache restarts; None before the first response.
     epoch: int | None = None
+    # Number of the next change to read.
     next_number: int = 0
     # Whether the last request got a response, if only that it is busy.
     is_alive: bool = False
 
     def apply(self, update: CacheChanges) -> None:
-        """Apply changes; a restart or a gap first clears the held parts."""
+        """Apply changes; after a restart or a gap, clear the parts first."""
         if update.epoch != self.epoch or update.has_gap:
             self.held.clear()
         self.epoch = update.epoch
--- a/sequoiawind/commands.py
+++ b/sequoiawind/commands.py
@@ -63,6 +63,7 @@
 
 Command = Create | Set | Delete | Drain | Admit | Load
 
+# Classes of commands by verb, and the reverse.
 NODES: dict[str, type[Command]] = {
     "create": Create,
     "set": Set,
@@ -78,9 +79,11 @@
 class CommandRecord:
     """A command as stored in the configuration stream."""
 
-    # Unique; the sender finds the decision on its own record by it.
+    # Unique; the sender looks up the decision on its command by it.
     id: str
+    # Name of the operator.
     actor: str
+    # Key of `NODES`.
     verb: str
     body: dict[str, object]
     # Revision that the command is based on; -1 for any.
--- a/sequoiawind/engine_watcher.py
+++ b/sequoiawind/engine_watcher.py
@@ -2,8 +2,8 @@
 
 It updates the cache index from the engine's events, reads the whole list of
 blocks after a gap, reads the engine's incarnation and weights version, and
-orders the version that the configuration demands, with the configuration's
-revision as fencing number.
+orders the version that the configuration demands.  The fencing number of an
+order is the configuration's revision.
 """
 
 import random
@@ -46,7 +46,7 @@
             await timing.sleep(self.clock, pause_s)
 
     async def round(self) -> None:
-        """Do one round: cache events, and now and then the version."""
+        """Read the cache events; every `report_every` rounds, the version."""
         await self.follow_cache()
         if self.rounds % self.report_every == 0:
             await self.follow_version()
@@ -65,7 +65,7 @@
             index.apply(events.ok)
 
     async def follow_version(self) -> None:
-        """Read the engine's version; order the pool's if they differ."""
+        """Read the engine's version; order the pool's version if it differs."""
         report = await self.port.load()
         if report.is_error():
             return
@@ -79,7 +79,7 @@
             await self.order(pool)
 
     async def leave_queue(self, pool: Pool) -> None:
-        """Free the slot of a load that has ended."""
+        """Leave the pool's queue, which frees the slot of a completed load."""
         if self.is_queued:
             await self.slots.release(pool.name)
             self.is_queued = False
@@ -87,8 +87,8 @@
     async def order(self, pool: Pool) -> None:
         """Order the pool's version, if there is a slot for loading.
 
-        The order is repeated until the engine reports the version: an order
-        to load what is being loaded changes nothing.
+        The order is repeated until the engine reports the version.  Repeating
+        it is harmless: an order to load what is being loaded changes nothing.
         """
         self.is_queued = True
         state = self.board.state
--- a/sequoiawind/forward_readers.py
+++ b/sequoiawind/forward_readers.py
@@ -21,12 +21,13 @@
 
 @attrs.frozen(kw_only=True)
 class OperatorCodec:
-    """Decodes the operator's records; provided by the adapter."""
+    """Decodes the records that operators write; provided by the adapter."""
 
+    # Key of the configuration, and prefix of the keys of weights versions.
     config_key: str
     weights_prefix: str
     config: Callable[[bytes], ForwardState]
-    # Returns something with the attributes `model` and `version`.
+    # Returns an object with the attributes `model` and `version`.
     weights: Callable[[bytes], Any]
 
 
@@ -37,13 +38,14 @@
     board: Blackboard
     codec: OperatorCodec
     log: Logger
-    # None where no keys are checked.
+    # None in processes that check no callers' keys.
     freshness: Freshness | None = None
-    # Called with a model, a version, and whether it may have been named long
-    # before it was read.
+    # Called with a model, a version, and whether the version may have been
+    # named long before it was read.
     on_weights: Callable[[str, int, bool], None] = attrs.field(
         default=lambda model, version, is_late: None
     )
+    # Called after a newer configuration has been put in force.
     on_config: Callable[[], None] = attrs.field(default=lambda: None)
 
     def replaced(self, records: Sequence[KeyedRecord]) -> None:
@@ -88,7 +90,7 @@
         self.on_config()
 
     def apply_weights(self, model: str, version: int, is_late: bool) -> None:
-        """Report the weights version that an operator names for a model."""
+        """Log and pass on the weights version that an operator has named."""
         self.log.info(
             "weights named",
             model=model,
@@ -125,7 +127,9 @@
     decode: Callable[[str, bytes], Result[ForwardTarget, str]]
     clock: Clock
     log: Logger
+    # Called after an entry has been applied or removed.
     on_change: Callable[[], None] = attrs.field(default=lambda: None)
+    # Called with a target's name when the fleet has a new incarnation of it.
     on_incarnation: Callable[[str], None] = attrs.field(
         default=lambda name: None
     )
@@ -173,7 +177,7 @@
         self.on_change()
 
     def remove(self, name: str) -> None:
-        """Remove an entry; the fleet may keep the target for a while."""
+        """Remove an entry; after an outage the fleet keeps it for a while."""
         if name not in self.fleet.views:
             return
         now_s = self.clock.seconds()
--- a/sequoiawind/peers.py
+++ b/sequoiawind/peers.py
@@ -31,7 +31,7 @@
         return Deferred.fromCoroutine(self.json.call("GET", url, DaemonReport))
 
     async def config(self, address: Address, board: Blackboard) -> bool:
-        """Adopt a peer's configuration if it is newer; whether it was."""
+        """Adopt a peer's configuration; return False if it is not newer."""
         url = f"http://{address}/peer/config"
         answer = await self.json.call("GET", url, config_fold.Snapshot)
         if answer.is_error():
@@ -56,18 +56,18 @@
     clock: Clock
     addresses: Sequence[Address]
     pause_s: float = 0.2
-    # Called when there is a configuration.
+    # Called when there is a configuration; possibly more than once.
     on_found: Callable[[], None] = attrs.field(default=lambda: None)
 
     async def run(self) -> None:
         """Poll all peers until there is a configuration from any source."""
         while self.board.folded.next_offset == 0:
             for address in self.addresses:
-                Deferred.fromCoroutine(self.ask(address))
+                Deferred.fromCoroutine(self.fetch(address))
             await timing.sleep(self.clock, self.pause_s)
         self.on_found()
 
-    async def ask(self, address: Address) -> None:
+    async def fetch(self, address: Address) -> None:
         """Request the configuration of one peer."""
         if await self.peers.config(address, self.board):
             self.on_found()
@@ -84,7 +84,7 @@
     addresses: Sequence[Address]
 
     async def run(self) -> None:
-        """Send the demand once per period."""
+        """Send the demand once per period until the process ends."""
         self.board.limits.period_s = self.period_s()
         while True:
             await timing.sleep(self.clock, self.board.limits.period_s)
@@ -126,7 +126,7 @@
     random: random.Random
 
     async def run(self) -> None:
-        """Poll the list."""
+        """Poll the list until the process ends."""
         while True:
             await self.round()
             pause_s = timing.jittered(self.period_s(), 0.2, self.random)
@@ -154,7 +154,7 @@
 
 
 def vm_state(text: str) -> VmState:
-    """Parse a VM's state as listed; any other text than leaving is live."""
+    """Parse a VM's state in the list; an unknown state counts as live."""
     if text == VmState.LEAVING.value:
         return VmState.LEAVING
     return VmState.LIVE
--- a/sequoiawind/ports.py
+++ b/sequoiawind/ports.py
@@ -51,7 +51,7 @@
 
 
 class ProbePort(Protocol):
-    """Asks agents how soon a request could start."""
+    """Queries agents for how soon a request could start."""
 
     def probe(
         self, address: str, probe: Probe
@@ -135,7 +135,7 @@
         """Return all cached blocks."""
 
     def load(self) -> Deferred[Result[LoadReport, Failure]]:
-        """Return the engine's own report."""
+        """Return the engine's own load report."""
 
     def order_version(
         self, version: str, fencing: int
@@ -147,5 +147,5 @@
           fencing: The fencing number of the order.
 
         Returns:
-          Whether the engine took the order.
+          Whether the engine accepted the order.
         """
--- a/sequoiawind/record_follower.py
+++ b/sequoiawind/record_follower.py
@@ -2,8 +2,8 @@
 
 The follower reads the newest record of each key and then waits for later
 records.  After a failure, or if the records to read next have been deleted, it
-reads the newest ones again.  No reader goes back to an older state by that,
-since readers keep the greatest version.
+reads the newest ones again.  This never reverts a reader to an older state,
+because readers keep the greatest version.
 """
 
 import random
@@ -26,8 +26,8 @@
 
 Logger = structlog.typing.FilteringBoundLogger
 
-# Pause after a failed read, in seconds, and its jitter as a share of it, so
-# that the processes do not all retry at the same time.
+# Pause after a failed read, in seconds, and its jitter as a share of the pause;
+# the jitter keeps the processes from all retrying at the same time.
 RETRY_PAUSE_S: Final = 0.25
 RETRY_JITTER: Final = 0.4
 # Time allowed for a response, in seconds, in addition to the wait.
@@ -38,7 +38,7 @@
     """Receives the records of a topic."""
 
     def replaced(self, records: Sequence[KeyedRecord]) -> None:
-        """Called with the newest record of each key; drop other keys."""
+        """Called with the newest record of each key; other keys are deleted."""
 
     def changed(self, record: KeyedRecord) -> None:
         """Called with a newly written record."""
@@ -87,7 +87,7 @@
         return True
 
     async def step(self) -> None:
-        """Read from the store once, and pause if that failed."""
+        """Read from the store once; pause after a failure or new records."""
         request_time_s = self.age_clock()
         if self.offset is None:
             result = await self.read_newest()
--- a/sequoiawind/record_ports.py
+++ b/sequoiawind/record_ports.py
@@ -51,11 +51,12 @@
     async def read(
         self, topic: str, start: int, wait_s: float, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        """Return the records from an offset on, waiting for the first.
+        """Return the records from an offset on.
 
         Args:
           topic: The topic.
           start: The offset.
-          wait_s: How long the store may wait for a record, in seconds.
+          wait_s: How long the store may wait for a record if there is none
+            yet, in seconds.
           timeout_s: Time allowed for the response, in seconds.
         """
--- a/sequoiawind/settings_follower.py
+++ b/sequoiawind/settings_follower.py
@@ -1,7 +1,7 @@
 """Follows a settings file while its process runs.
 
 The file is read again on a signal, and also checked periodically, since not
-everything that writes it sends a signal.  A file with faults changes nothing.
+everything that writes it sends a signal.  A faulty file changes no settings.
 """
 
 from collections.abc import Callable
@@ -27,6 +27,7 @@
     """Controller that keeps a process's settings up to date."""
 
     file: str
+    # The options class that the file fills.
     kind: type[T]
     clock: Clock
     log: Logger
@@ -36,7 +37,7 @@
     content: bytes | None = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Read the file with which the process has started."""
+        """Read the file, to compare it with at the first check."""
         self.content = self.read()
 
     async def run(self) -> None:
@@ -44,7 +45,7 @@
         await supervise.repeat(self.watch, "settings", self.clock, self.log)
 
     async def watch(self) -> bool:
-        """Check the file after a pause; always True, so it is repeated."""
+        """Pause, then check; always returns True, so that it is repeated."""
         await timing.sleep(self.clock, CHECK_PERIOD_S)
         self.check()
         return True
--- a/sequoiawind/status_watcher.py
+++ b/sequoiawind/status_watcher.py
@@ -24,7 +24,8 @@
 STATUS_PATH: Final = b"/agent/status"
 # How long an agent may wait for a change before it answers, in seconds.
 STATUS_WAIT_S: Final = 0.6
-# Pause after a failed call, in seconds, doubled after each up to the cap.
+# The pause after n failed calls in a row is RETRY_BASE_S * 2**n, at most
+# RETRY_CAP_S, in seconds.
 RETRY_BASE_S: Final = 0.1
 RETRY_CAP_S: Final = 1.0
 
@@ -47,12 +48,12 @@
         """Return the status of the target at an address.
 
         Args:
-          address: Where the target serves.
+          address: Address of the target, as host:port.
           after: Number of the last status received; the agent waits for a
             greater one.
 
         Returns:
-          The status; None if the agent does not answer.
+          The status; None if the call failed or its answer is no status.
         """
         agent = f"{address.rpartition(':')[0]}:{self.agent_port}"
         router = quote(self.router)
@@ -61,11 +62,11 @@
             target=STATUS_PATH + f"?after={after}&router={router}".encode(),
             headers=[(b"host", agent.encode())],
         )
-        answered = await fetch(self.client, agent, request, self.timeout_s)
-        if answered.is_error() or answered.ok.status != 200:
+        result = await fetch(self.client, agent, request, self.timeout_s)
+        if result.is_error() or result.ok.status != 200:
             return None
         try:
-            return wire.decode(answered.ok.body, TargetStatus)
+            return wire.decode(result.ok.body, TargetStatus)
         except wire.WireError as error:
             self.log.warning(
                 "cannot decode status", agent=agent, error=str(error)
@@ -98,7 +99,7 @@
     watched: set[str] = attrs.field(factory=set)
 
     def follow(self) -> None:
-        """Start polling the agents of new targets."""
+        """Start polling the agents of new targets that serve models."""
         for name, view in self.fleet.views.items():
             if view.target.versions and name not in self.watched:
                 self.watched.add(name)
@@ -116,7 +117,10 @@
         self.watched.discard(name)
 
     async def poll(self, name: str, watched: WatchedAgent) -> None:
-        """Poll an agent once, and pause if it did not answer."""
+        """Poll an agent once, and pause if that failed.
+
+        An answer for another target changes nothing in the fleet.
+        """
         view = self.fleet.views.get(name)
         if view is None:
             return
