--- a/sequoiawind/admin.py
+++ b/sequoiawind/admin.py
@@ -21,7 +21,7 @@
 from sequoiawind.state import Operator
 from sequoiawind.verdict import Failure, Reason, Verdict
 
-AskPeer = Callable[[str], Deferred[Result[DaemonReport, Failure]]]
+ReportRequester = Callable[[str], Deferred[Result[DaemonReport, Failure]]]
 
 
 @attrs.frozen(kw_only=True)
@@ -37,6 +37,7 @@
     """The reports of all daemons, and the addresses that did not answer."""
 
     reports: list[DaemonReport]
+    # Number of daemons, this one included.
     expected: int
     missing: tuple[str, ...]
 
@@ -52,7 +53,7 @@
     claimant: Claimant
     clock: Clock
     # Requests the report of the daemon at an address.
-    request_report: AskPeer
+    request_report: ReportRequester
     # Addresses of the other routers.
     routers: Sequence[str] = ()
 
@@ -165,7 +166,7 @@
         )
 
     async def survey(self) -> Survey:
-        """Request the reports of all daemons."""
+        """Collect the reports of all daemons."""
         addresses = [*self.routers, *self.agent_addresses()]
         answers = await gatherResults(
             [self.request_report(address) for address in addresses]
@@ -222,7 +223,7 @@
         message: str = "",
         is_accepted: bool = True,
     ) -> Answer:
-        """Return an answer that states which daemons it covers."""
+        """Return an answer that states how many daemons answered."""
         checked_s = self.board.config_checked_s
         age_s = self.clock.seconds() - checked_s if checked_s >= 0 else -1.0
         return Answer(
--- a/sequoiawind/invariants.py
+++ b/sequoiawind/invariants.py
@@ -28,7 +28,7 @@
 
 
 def claim_won(key: str, claim_id: str, entry: ClaimEntry) -> None:
-    """An action that must not repeat is sent only by the first claim."""
+    """An action that must not repeat is sent only by its key's first claim."""
     check(
         entry.claim.claim_id == claim_id and entry.is_open,
         "at-most-once",
--- a/sequoiawind/language.py
+++ b/sequoiawind/language.py
@@ -59,6 +59,7 @@
     """Record what an operator found out about a stuck key."""
 
     key: str
+    # Whether the key's action ran.
     ran: bool
     because: str
 
@@ -180,7 +181,7 @@
 
 
 class NodeBuilder(lark.Transformer[lark.Token, Any]):
-    """Builds nodes from the parse tree; a method for each rule."""
+    """Builds nodes from the parse tree; one method per grammar rule."""
 
     def start(self, items: list[Any]) -> Any:
         """Return the statement."""
--- a/sequoiawind/lifecycle.py
+++ b/sequoiawind/lifecycle.py
@@ -32,6 +32,7 @@
 class Phase:
     """The current phase, for the rest of the daemon to read."""
 
+    # Name of a state of the state machine below.
     name: str = "starting"
     # Called when the daemon has stopped.
     on_stopped: Callable[[], None] = attrs.field(default=lambda: None)
--- a/sequoiawind/query.py
+++ b/sequoiawind/query.py
@@ -1,7 +1,7 @@
 """Evaluates queries of the operators' language over rows.
 
 The rows come from the configuration and from the daemons' reports; each
-answer states which part of the daemons it covers.
+answer states how many daemons answered, and which did not.
 """
 
 import operator
@@ -38,12 +38,13 @@
 
     # Revision of the configuration that the answer is based on.
     revision: int
-    # Number of daemons that were asked, and of those that answered.
+    # Number of daemons that were queried, and of those that answered.
     expected: int
     answered: int
     # Names or addresses of those that did not answer.
     missing: tuple[str, ...] = ()
-    # Age of the oldest part of the answer, in seconds.
+    # Age of the oldest part of the answer, in seconds: time since the
+    # configuration was last known to be current; negative if it never was.
     oldest_s: float = 0.0
     columns: tuple[str, ...] = ()
     rows: tuple[tuple[Scalar, ...], ...] = ()
@@ -96,11 +97,13 @@
     reports: Sequence[DaemonReport],
     now_s: float,
 ) -> list[Row]:
-    """Return the targets, by configuration, this router and their agents.
+    """Return the rows of the targets.
 
-    What an agent reports of its queue takes precedence over this router's
-    view.  A target whose agent did not answer is shown as this router sees it,
-    and as stuck unless it drains.
+    They combine the configuration, this router's view and the reports of the
+    targets' agents.  An agent's report takes precedence over this router's
+    view, except that a target which is draining or stuck in that view is shown
+    so.  A target whose agent did not answer is shown by this router's view, and
+    as stuck unless it drains.
     """
     reported = rows_by_name(reports, "targets")
     rows: list[Row] = []
@@ -182,7 +185,7 @@
     """Apply a query's clauses to rows.
 
     Returns:
-      The columns and the rows; or what is wrong with the query.
+      The columns and the rows; or an error message.
     """
     kept = list(rows)
     columns = tuple(kept[0]) if kept else ()
@@ -224,7 +227,10 @@
 
 
 def matches(condition: Condition, row: Row) -> bool:
-    """Whether a row meets a condition; never if the types do not compare."""
+    """Whether a row meets a condition.
+
+    It does not if the types of the two values cannot be compared.
+    """
     have = row[condition.field]
     want = condition.value
     if isinstance(have, str) and not isinstance(want, str):
--- a/sequoiawind/reports.py
+++ b/sequoiawind/reports.py
@@ -44,7 +44,7 @@
 
 
 def agent_target_row(agent: Agent) -> Row:
-    """Return an agent's row of its target."""
+    """Return the row of an agent's target."""
     state = "running" if agent.queue.running else "warm"
     if agent.drain_reason:
         state = "draining"
@@ -86,7 +86,7 @@
 
 
 def request_row(note: RequestNote, router: str, now_s: float) -> Row:
-    """Return a router's row of a request."""
+    """Return the row of a request that a router has handled."""
     end_s = note.ended_s if note.ended_s >= 0.0 else now_s
     first_s = -1.0
     if note.first_chunk_s >= 0.0:
--- a/sequoiawind/supervise.py
+++ b/sequoiawind/supervise.py
@@ -1,7 +1,8 @@
 """Keeps controllers running after exceptions.
 
 An exception in one step is logged with its traceback and the next step is run,
-so that an unexpected message does not end a process's view of the others.
+so that one unexpected message does not stop the controller that keeps a
+process's view of the others current.
 """
 
 import traceback
--- a/tests/cases.py
+++ b/tests/cases.py
@@ -52,7 +52,10 @@
 def check_file(
     test: TestCase, name: str, produce: Callable[[str], str]
 ) -> None:
-    """Compare what each case's input produces with what is expected."""
+    """Compare the output of each case's input with the expected lines.
+
+    With UPDATE_GOLDEN, rewrite the expected lines instead.
+    """
     file = DATA / name
     cases = read(file)
     test.assertNotEqual([], cases)
--- a/tests/session.py
+++ b/tests/session.py
@@ -3,9 +3,10 @@
 Each line is a step; the transcript holds the steps and the results that
 callers and operators received.
 Steps: ``prompt ID ROUTER TOKENS TEXT``, ``book ID ROUTER KEY BODY``,
-``look ID ROUTER``, ``run SECONDS``, ``kill|pause|resume|restart PROCESS``,
-``crash TARGET SECONDS``, ``log down|up|loses``, ``ops ROUTER STATEMENT``,
-``executions KEY`` and ``leave ID``.
+``look ID ROUTER``, ``account ACCOUNT``, ``run SECONDS``,
+``kill|pause|resume|restart PROCESS``, ``crash TARGET SECONDS``,
+``log down|up|loses``, ``ops ROUTER STATEMENT``, ``executions KEY`` and
+``leave ID``.
 """
 
 from collections.abc import Callable
@@ -35,6 +36,7 @@
     """A caller of a session."""
 
     name: str
+    # The session's transcript.
     lines: list[str]
     prompt: str = ""
     tokens: int = 0
@@ -89,7 +91,7 @@
 
 
 def first_commands() -> list[Command]:
-    """Return the configuration of a session."""
+    """Return the commands that create a session's configuration."""
     return [
         account_command("nordlys", "nordlys"),
         account_command("petra", "petra"),
@@ -101,10 +103,13 @@
 class Session:
     """One session."""
 
+    # Client account of the requests.
     account: str = "nordlys"
     rig: Rig = attrs.field(init=False)
+    # The transcript.
     lines: list[str] = attrs.field(factory=list)
     callers: dict[str, SessionCaller] = attrs.field(factory=dict)
+    # Idempotency keys by their names in the steps.
     keys: dict[str, str] = attrs.field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
@@ -136,7 +141,7 @@
         return self.rig.routers[int(name[1:])]
 
     def node(self, name: str) -> Node:
-        """Return a process."""
+        """Return the node of a process."""
         if name.startswith("agent-"):
             return self.rig.agents[name.removeprefix("agent-")].node
         return self.router(name).node
@@ -164,7 +169,7 @@
         self.submit(router, caller, request)
 
     def do_book(self, name: str, router: str, key: str, body: str) -> None:
-        """Send an action that must not repeat."""
+        """Send an action that must not repeat, under an idempotency key."""
         if key not in self.keys:
             new_key = keys.make_key(self.rig.wall(), len(self.keys))
             self.keys[key] = new_key
@@ -192,7 +197,7 @@
     def submit(
         self, router: str, caller: SessionCaller, request: CallerRequest
     ) -> None:
-        """Submit a request."""
+        """Submit a request; a refusal is the caller's result."""
         self.callers[caller.name] = caller
         result = self.router(router).router.submit(request, caller)
         if result.is_error():
@@ -224,11 +229,11 @@
             self.rig.restart_router(int(name[1:]))
 
     def do_crash(self, name: str, seconds: str) -> None:
-        """Crash a target."""
+        """Crash a target; it refuses new work for some seconds."""
         self.rig.agents[name].target.crash(float(seconds))
 
     def do_log(self, mode: str) -> None:
-        """Take the log down or up, or let it lose its answers."""
+        """Take the log down or up, or let its answers to appends be lost."""
         self.rig.log.is_down = mode == "down"
         self.rig.log.lost_answers = 1.0 if mode == "loses" else 0.0
 
--- a/tests/test_cache_watcher.py
+++ b/tests/test_cache_watcher.py
@@ -18,7 +18,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class FakeCache:
-    """Returns the answers that a test has prepared, then that it is busy."""
+    """Returns the answers that a test has prepared, then busy failures."""
 
     answers: list[Result[CacheChanges, Failure]]
 
@@ -48,7 +48,7 @@
 
 
 class HeldPartsTest(TestCase):
-    """A prompt is held up to its first part that is not held as a whole."""
+    """Held tokens count up to the first part that is not held as a whole."""
 
     def test_held_tokens(self) -> None:
         for changes, expected in (
@@ -63,7 +63,7 @@
             self.assertEqual(expected, held.held_tokens("s", PARTS), changes)
             self.assertEqual(0, held.held_tokens("other", PARTS))
 
-    def test_capacity(self) -> None:
+    def test_capacity_evicts_the_least_recently_used_part(self) -> None:
         held = HeldParts(capacity_tokens=120)
         held.sent("s", PARTS)
         self.assertEqual(50, held.tokens)
@@ -76,7 +76,7 @@
 class WatcherTest(TestCase):
     """Restarts, gaps and failures clear what is known of a cache."""
 
-    def held_after(self, *answers: Result[CacheChanges, Failure]) -> int:
+    def held_tokens_after(self, *answers: Result[CacheChanges, Failure]) -> int:
         clock = Clock()
         watcher = CacheWatcher(
             port=FakeCache(answers=list(answers)),
@@ -89,7 +89,7 @@
             clock.advance(0.1)
         return watcher.caches["e1"].held.held_tokens("s", PARTS)
 
-    def test_changes(self) -> None:
+    def test_restart_gap_and_failure_clear_the_held_parts(self) -> None:
         lost = Error(may_have_run(Reason.CONNECTION_LOST))
         for answers, expected in (
             ((changes_answer(("a", 100)), changes_answer(("b", 50))), 150),
@@ -107,4 +107,4 @@
                 100,
             ),
         ):
-            self.assertEqual(expected, self.held_after(*answers))
+            self.assertEqual(expected, self.held_tokens_after(*answers))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -59,7 +59,7 @@
 class SubmitTest(FollowerTestCase):
     """A command is reported as accepted only once it is logged and folded."""
 
-    def test_operators_race(self) -> None:
+    def test_command_based_on_an_old_revision_is_rejected(self) -> None:
         first, second = self.start_follower(), self.start_follower()
         results = [
             self.submit(first, "a", based_on=-1),
@@ -77,7 +77,7 @@
         self.run_for(3.0)
         self.assertEqual("", result[0].ok.rejection)
 
-    def test_outage(self) -> None:
+    def test_outage_leaves_the_outcome_unknown(self) -> None:
         follower = self.start_follower()
         self.log.is_down = True
         result = self.submit(follower, "a")
@@ -104,7 +104,7 @@
 class SnapshotTest(FollowerTestCase):
     """Snapshots cover records before the log's retention deletes them."""
 
-    def test_new_process_after_the_retention(self) -> None:
+    def test_new_process_starts_from_a_snapshot(self) -> None:
         current = self.start_follower()
         self.submit(current, "a")
         self.run_for(500.0)
@@ -118,6 +118,7 @@
         self.assertIn("a", newcomer.board.state.kinds)
 
     def test_snapshots_outlive_the_readers_of_the_records(self) -> None:
+        """A process that started from a snapshot appends later ones itself."""
         first = self.start_follower()
         self.submit(first, "a")
         self.run_for(150.0)
@@ -130,7 +131,7 @@
         self.run_for(5.0)
         self.assertIn("a", third.board.state.kinds)
 
-    def test_reader_that_fell_behind(self) -> None:
+    def test_lagging_reader_continues_from_a_snapshot(self) -> None:
         current, lagging = self.start_follower(), self.make_follower()
         Deferred.fromCoroutine(lagging.catch_up())
         for name in ("a", "b"):
@@ -140,7 +141,7 @@
         self.run_for(1.0)
         self.assertEqual({"a", "b"}, set(lagging.board.state.kinds))
 
-    def test_two_outages_in_a_row(self) -> None:
+    def test_follower_continues_after_two_outages(self) -> None:
         current = self.start_follower()
         self.submit(current, "a")
         self.run_for(3.0)
@@ -153,7 +154,7 @@
         self.run_for(3.0)
         self.assertEqual({"a", "b"}, set(current.board.state.kinds))
 
-    def test_damaged_snapshot_is_not_taken(self) -> None:
+    def test_damaged_or_unknown_snapshot_is_rejected(self) -> None:
         text = config_fold.snapshot(Folded())
         self.assertIsNotNone(config_fold.restore(text))
         self.assertIsNone(config_fold.restore(text.replace("-1", "5")))
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -15,7 +15,7 @@
 
 
 def play(steps: str) -> str:
-    """Return the transcript of a session."""
+    """Return the transcript of a session and the violated invariants."""
     invariants.violations.clear()
     transcript = Session().play(steps)
     return "\n".join([transcript, *invariants.violations])
@@ -33,10 +33,10 @@
 class GoldenTest(TestCase):
     """Sessions and statements yield the recorded output."""
 
-    def test_nordlys(self) -> None:
+    def test_session_of_nordlys(self) -> None:
         cases.check_file(self, "nordlys.session", play)
 
-    def test_petra(self) -> None:
+    def test_session_of_petra(self) -> None:
         cases.check_file(self, "petra.session", play)
 
     def test_statements(self) -> None:
@@ -54,7 +54,7 @@
         ]
         return f"```session\n{play(chr(10).join(steps))}\n```"
 
-    def test_sessions(self) -> None:
+    def test_page_matches_the_output(self) -> None:
         text = PAGE.read_text(encoding="utf-8")
         updated = re.sub(
             r"```session\n(.*?)\n```", self.replay, text, flags=re.S
--- a/tests/test_settings_follower.py
+++ b/tests/test_settings_follower.py
@@ -33,7 +33,7 @@
         Deferred.fromCoroutine(self.follower.run())
 
     def levels_after(self, text: str) -> list[str]:
-        """Write the file, wait for a check and return the levels applied."""
+        """Write the file, wait for a check and return all levels applied."""
         self.file.write_text(text, encoding="utf-8")
         self.clock.advance(CHECK_PERIOD_S)
         return [options.level for options in self.applied]
