--- a/sequoiawind/forward_plan.py
+++ b/sequoiawind/forward_plan.py
@@ -46,8 +46,10 @@
     body: bytes
     # The caller's API key; empty if it sent none.
     key: str
+    # In seconds of the clock.
     arrived_s: float
-    # How long the caller waits, counted from `arrived_s`; None if not stated.
+    # How long the caller waits from `arrived_s` on, in seconds; None if not
+    # stated.
     deadline_s: float | None = None
     # None for calls to plain services.
     prompt: Prompt | None = None
@@ -176,7 +178,7 @@
         return stale_configuration()
 
     def pool_name(self, route: ForwardRoute) -> str:
-        """Return one of a route's pools, drawn at random by their weights."""
+        """Return a route's pool; of several, one drawn by their weights."""
         if len(route.shares) < 2:
             return route.pool
         weights = [share.weight for share in route.shares]
--- a/sequoiawind/forward_ports.py
+++ b/sequoiawind/forward_ports.py
@@ -129,7 +129,7 @@
     async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheChanges, Failure]:
-        """Return the changes since a number, waiting for a first one."""
+        """Return the changes since a number, waiting up to `wait_s` for one."""
 
 
 class ForwardCaller(Protocol):
--- a/sequoiawind/forwarder.py
+++ b/sequoiawind/forwarder.py
@@ -69,10 +69,11 @@
     domain: str
     # Time within which all targets must have newer weights, in seconds.
     weights_s: float
-    # Grace period after a router's start, in which that bound does not hold.
+    # Grace period after a router's start in which that bound does not hold, in
+    # seconds.
     settle_s: float
     caches: CacheWatcher
-    # Weights versions by model, in the order in which they were named.
+    # Weights versions by model, in the order in which operators named them.
     named: dict[str, list[NamedVersion]] = attrs.field(factory=dict)
     # Moving average of the tokens that a prompt has to prefill.
     average_prefill_tokens: float = DEFAULT_PREFILL_TOKENS
@@ -80,7 +81,7 @@
     waiting_timer: Timer | None = None
     # Requests that have not ended.
     open: set[Forwarding] = attrs.field(factory=set)
-    # Called with each attempted move of a stream.
+    # Called when a move of a stream has succeeded or failed.
     on_move: Callable[[StreamMove], None] = attrs.field(
         default=lambda move: None
     )
@@ -216,7 +217,8 @@
         Args:
           model: The model.
           version: Its new weights version.
-          is_late: It may have been named long ago, as before a restart.
+          is_late: Whether it may have been named long ago, as it was found by
+            reading all records after a start or a failure of the store.
         """
         named_s = self.clock.seconds()
         if is_late:
@@ -286,7 +288,12 @@
     def attempt_failed(
         self, forwarding: Forwarding, view: TargetView, failure: Failure
     ) -> None:
-        """Update a target's health after a failed attempt."""
+        """Update a target's health after a failed attempt.
+
+        A target that refused the request is avoided for a while.  Any other
+        failure counts against its health, and a connection that could not be
+        opened ejects it immediately.
+        """
         self.on_attempt_failed(forwarding, view, failure)
         now_s = self.clock.seconds()
         name = view.target.name
--- a/sequoiawind/forwarding.py
+++ b/sequoiawind/forwarding.py
@@ -139,7 +139,9 @@
     last_failure: Failure | None = None
     # Whether an answer's head was sent to the caller.
     has_head: bool = False
+    # Id of the last event that was sent to the caller.
     last_event: int | None = None
+    # Since when the request has been waiting for a target; None if it is not.
     waiting_since_s: float | None = None
 
     def start(self) -> None:
@@ -162,7 +164,7 @@
         return self.plan.ends_s - self.now_s
 
     def next_target(self) -> None:
-        """Send the request to the best target, or wait for one."""
+        """Send the request to the best target, wait for one, or give up."""
         if self.is_finished:
             return
         if not self.replan():
@@ -188,7 +190,7 @@
         self.send(chosen)
 
     def replan(self) -> bool:
-        """Plan again if the configuration has changed or keys are not trusted.
+        """Plan again if the configuration changed or is too old to trust keys.
 
         Returns:
           Whether the request has a valid plan; if not, it has been refused.
@@ -281,7 +283,11 @@
     # Moves.
 
     def move_away(self) -> None:
-        """Move the run to another target, if it may be repeated and began."""
+        """Start to move the run to another target, if possible.
+
+        Requires that the pool supports moves, that the kind may be repeated,
+        that the stream has begun, and that there is a target to move to.
+        """
         attempt = self.current
         if attempt is None or attempt.is_over or attempt.move is not None:
             return
@@ -406,7 +412,8 @@
     def reply(self, answer: AnswerHead, body: bytes) -> None:
         """Send a target's whole answer to the caller."""
         if self.has_head:
-            # The answer to a resumed stream is not a stream.
+            # The caller has a part of a stream, but the target that should
+            # resume it did not answer with a stream.
             self.caller.abort_answer()
             self.finish(may_have_run(Reason.TARGET_ERROR))
             return
@@ -433,7 +440,11 @@
     # Ends.
 
     def give_up(self, failure: Failure) -> None:
-        """End the request with the verdict over all attempts."""
+        """End the request with a failure.
+
+        The caller gets the verdict over all attempts; an answer that has
+        begun is aborted instead.
+        """
         if self.is_finished:
             return
         failure = self.with_overall_verdict(failure)
--- a/sequoiawind/request_execution.py
+++ b/sequoiawind/request_execution.py
@@ -30,16 +30,17 @@
     is_over: bool = False
 
     def set_timeout(
-        self, timeout_s: float, on_silence: Callable[[], None]
+        self, timeout_s: float, on_timeout: Callable[[], None]
     ) -> None:
         """Start or restart the attempt's timeout.
 
         Args:
           timeout_s: Time until the timeout, in seconds.
-          on_silence: Called at the timeout, unless it is stopped or restarted.
+          on_timeout: Called at the timeout, unless the timer was stopped or
+            restarted before.
         """
         self.stop_timer()
-        self.timer = self.clock.callLater(timeout_s, on_silence)
+        self.timer = self.clock.callLater(timeout_s, on_timeout)
 
     def stop_timer(self) -> None:
         """Cancel the attempt's timeout, if one is pending."""
@@ -80,7 +81,10 @@
         self.deadline = self.clock.callLater(left_s, self.deadline_passed)
 
     def deadline_passed(self) -> None:
-        """End the request with `Reason.DEADLINE`."""
+        """End the request with `Reason.DEADLINE`.
+
+        If an attempt is open, the request may have run at its target.
+        """
         if self.is_finished:
             return
         was_open = self.current is not None and not self.current.is_over
--- a/sequoiawind/stream_move.py
+++ b/sequoiawind/stream_move.py
@@ -35,9 +35,9 @@
     # The attempt at the target that the run is moved from.
     attempt: "ForwardAttempt"
     destination: Chosen
-    # Whether the move request has been answered, and where the run's memory
-    # is; empty if the run was not moved.
+    # Whether the move request has been answered.
     is_answered: bool = False
+    # Location of the run's copied memory; empty if the run was not moved.
     moved_from: str = ""
     # Why the copy failed, and why the stream failed during the move.
     failure: Failure | None = None
@@ -51,7 +51,7 @@
         Deferred.fromCoroutine(self.request_move())
 
     async def request_move(self) -> None:
-        """Ask the target to stop the run and copy its memory."""
+        """Request the target to stop the run and copy its memory."""
         order = MoveOrder(
             request_id=self.forwarding.plan.request.request_id,
             source=self.attempt.view.target,
@@ -67,12 +67,15 @@
         self.proceed()
 
     def stream_failed(self, failure: Failure) -> None:
-        """Record that the stream failed before it was complete."""
+        """Record that the stream from the source broke during the move."""
         self.source_failure = failure
         self.proceed()
 
     def proceed(self) -> None:
-        """Complete or abandon the move once the target has answered."""
+        """Complete or abandon the move, if the target has answered.
+
+        If the request has ended meanwhile, the copied memory is released.
+        """
         if not self.is_answered:
             return
         if self.forwarding.is_finished:
@@ -92,9 +95,9 @@
             self.forwarding.set_pause_timeout(self.attempt)
 
     def complete_move(self) -> None:
-        """Continue at the other target after this one's last event.
+        """Continue the run at the destination after the source's last event.
 
-        Waits up to `LAST_EVENTS_S` for the stream at this target to end.
+        Waits up to `LAST_EVENTS_S` for the stream from the source to end.
         """
         if not self.attempt.is_over:
             clock = self.forwarding.clock
--- a/sequoiawind/verdict.py
+++ b/sequoiawind/verdict.py
@@ -25,7 +25,7 @@
     Each member is a label of the refusal and retry counters.
     """
 
-    # The caller's fault.
+    # Faults of the caller's request.
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
     BODY_TIMEOUT = "body_timeout"
@@ -126,9 +126,10 @@
 def forwarded_status(failure: Failure) -> int:
     """Return the HTTP status of a forwarded request that failed.
 
-    Only a request that is proved not to have run keeps a status below 500 or
-    gets 503: callers rely on these and then repeat even requests that must
-    not run twice.  All others get 502 or 504.
+    Callers take a status below 500, or 503, as proof that the request was not
+    run, and then repeat even requests that must not run twice.  So only a
+    request that is proved not to have run gets such a status; all others get
+    502 or 504.
     """
     status = failure.http_status
     if failure.verdict is Verdict.NOT_RUN:
@@ -141,7 +142,7 @@
 def not_run(
     reason: Reason, detail: str = "", retry_after_s: float | None = None
 ) -> Failure:
-    """Return a failure that is proved not to have run."""
+    """Return a failure whose request is proved not to have run."""
     return Failure(
         verdict=Verdict.NOT_RUN,
         reason=reason,
--- a/tests/forward_rig.py
+++ b/tests/forward_rig.py
@@ -98,7 +98,8 @@
     move_answers: list[Deferred[Result[str, Failure]]] = attrs.field(
         factory=list
     )
-    dropped: list[str] = attrs.field(factory=list)
+    # Locations of moved runs whose memory was released.
+    released_runs: list[str] = attrs.field(factory=list)
 
     async def move(
         self, order: MoveOrder, timeout_s: float
@@ -109,8 +110,8 @@
         return await self.move_answers[-1]
 
     def release_moved_run(self, moved_from: str) -> None:
-        """Record the memory of a moved run that will not be continued."""
-        self.dropped.append(moved_from)
+        """Record the release of a moved run's memory."""
+        self.released_runs.append(moved_from)
 
     def send(self, order: SendOrder, sink: AttemptSink) -> FakeCall:
         """Record a request."""
@@ -120,7 +121,7 @@
     async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheChanges, Failure]:
-        """Refuse every watcher as one too many."""
+        """Refuse, like a target that has too many watchers."""
         return Error(not_run(Reason.TARGET_BUSY))
 
 
@@ -162,7 +163,7 @@
 
 
 def kind(name: str, **fields: Any) -> ForwardKind:
-    """Return a request kind with default limits."""
+    """Return a request kind with default limits and the given fields."""
     defaults: dict[str, Any] = {
         "repeat": "never",
         "max_targets": 2,
@@ -227,7 +228,7 @@
     port: FakePort = attrs.field(factory=FakePort)
     freshness: Freshness = attrs.field(init=False)
     forwarder: Forwarder = attrs.field(init=False)
-    made: int = 0
+    request_count: int = 0
 
     def __attrs_post_init__(self) -> None:
         """Create the router with a current configuration."""
@@ -271,18 +272,18 @@
 
     def request(self, route: str, **fields: Any) -> ForwardRequest:
         """Return a request for a route."""
-        self.made += 1
+        self.request_count += 1
         prompt = Prompt(
             model="m",
             tokens=300,
             max_tokens=10,
             parts=(
                 PromptPart(id="shared", tokens=200),
-                PromptPart(id=f"own{self.made}", tokens=100),
+                PromptPart(id=f"own{self.request_count}", tokens=100),
             ),
         )
         defaults: dict[str, Any] = {
-            "request_id": f"q{self.made}",
+            "request_id": f"q{self.request_count}",
             "host": "h",
             "path": f"/{route}/x",
             "method": b"POST",
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -31,8 +31,8 @@
         rig.add(target("e1", "llm"), target("e2", "llm"))
         return rig
 
-    def test_lost_connection(self) -> None:
-        # Route and total number of sends.
+    def test_lost_connection_is_repeated_only_if_the_kind_allows(self) -> None:
+        # The route, and how often the request is sent in all.
         for route, sends in (("read", 2), ("book", 1), ("brief", 1)):
             rig = self.rig()
             caller = rig.submit(route)
@@ -42,7 +42,7 @@
                 assert caller.failure is not None
                 self.assertEqual(502, forwarded_status(caller.failure))
 
-    def test_refused_by_the_target(self) -> None:
+    def test_refusal_is_repeated_for_every_kind(self) -> None:
         for route in ("read", "book", "brief", "draft"):
             rig = self.rig()
             caller = rig.submit(route)
@@ -188,7 +188,7 @@
         rig.advance(5.1)
         return caller
 
-    def test_timeout_of_the_route(self) -> None:
+    def test_unanswered_request_ends_at_its_time_limit(self) -> None:
         caller = self.submit_until_deadline("book", with_target=True)
         assert caller.failure is not None
         self.assertEqual(504, forwarded_status(caller.failure))
@@ -224,8 +224,8 @@
         self.assertEqual(5.0, first)
         self.assertAlmostEqual(4.0, second, delta=0.1)
 
-    def test_caller_gone(self) -> None:
-        # Repeatable and streaming requests are cancelled; an action continues.
+    def test_disconnect_cancels_all_but_an_action(self) -> None:
+        # A call that may not be repeated and does not stream keeps running.
         for route, is_cancelled in (
             ("read", True),
             ("book", False),
@@ -250,7 +250,7 @@
             return 200
         return forwarded_status(caller.failure)
 
-    def test_statuses_by_age(self) -> None:
+    def test_stale_configuration_neither_denies_nor_trusts_keys(self) -> None:
         cases = (
             # Age in seconds, key, host, status.
             (0.0, "key-of-a", "h", 200),
@@ -297,7 +297,7 @@
         rig.submit("brief")
         return bool(rig.port.sent)
 
-    def test_older_weights(self) -> None:
+    def test_older_weights_are_used_only_while_allowed(self) -> None:
         # All targets must have the weights within 6 s; a router that has just
         # started cannot know how much of that time has already passed.
         for is_late, after_s, expected in (
--- a/tests/test_stream_move.py
+++ b/tests/test_stream_move.py
@@ -1,4 +1,4 @@
-"""Streams that move to another target during their answers."""
+"""Moving a stream whose target begins to load weights to another target."""
 
 from typing import Any
 
@@ -25,7 +25,7 @@
 
 
 class MoveTest(TestCase):
-    """One stream at a target that begins to load weights."""
+    """A moved stream stays complete; one that cannot move is not harmed."""
 
     def begin(
         self, route: str = "draft", has_moves: bool = True, body: bytes = b""
@@ -61,8 +61,8 @@
         """Answer the move request: the move failed."""
         self.rig.port.move_answers[-1].callback(Error(LOST))
 
-    def go_on(self, *numbers: int) -> None:
-        """Answer the last attempt with the given events."""
+    def finish_with(self, *numbers: int) -> None:
+        """Complete the last attempt with the given events."""
         self.rig.port.sent[-1].answer(200, events(*numbers))
 
     def test_continues_after_the_last_event(self) -> None:
@@ -90,7 +90,7 @@
                 (self.first.order.version, self.first.order.salt),
                 (second.version, second.salt),
             )
-            self.go_on(*range(3 + len(late), 6))
+            self.finish_with(*range(3 + len(late), 6))
             self.assertEqual(events(1, 2, 3, 4, 5), caller.body)
             self.assertTrue(caller.is_ended)
             self.assertEqual([200], caller.statuses)
@@ -101,7 +101,7 @@
         self.assertEqual(1, len(self.rig.port.sent))
         self.rig.advance(0.1)
         self.assertTrue(self.first.call.is_cancelled)
-        self.go_on(2, 3)
+        self.finish_with(2, 3)
         self.assertEqual(events(1, 2, 3), caller.body)
 
     def test_refused_move_changes_nothing(self) -> None:
@@ -123,7 +123,7 @@
                 self.refuse()
             second = self.rig.port.sent[1].order
             self.assertEqual(("", 2), (second.moved_from, second.after_event))
-            self.go_on(3)
+            self.finish_with(3)
             self.assertEqual(events(1, 2, 3), caller.body)
 
     def test_stream_refused_by_the_destination_is_resumed(self) -> None:
@@ -131,11 +131,11 @@
         self.answer()
         self.first.sink.failed(LOST)
         self.rig.add(target("e3", "llm"))
-        busy = may_have_run(Reason.TARGET_BUSY, "the memory is gone")
+        busy = may_have_run(Reason.TARGET_BUSY, "memory of the run not found")
         self.rig.port.sent[1].sink.failed(busy)
         third = self.rig.port.sent[2].order
         self.assertEqual(("", 2), (third.moved_from, third.after_event))
-        self.go_on(3)
+        self.finish_with(3)
         self.assertEqual(events(1, 2, 3), caller.body)
 
     def test_stream_ends_during_the_move(self) -> None:
@@ -145,7 +145,7 @@
         self.answer()
         self.assertEqual(events(1, 2, 3), caller.body)
         self.assertEqual(1, len(self.rig.port.sent))
-        self.assertEqual(["ip:1/h"], self.rig.port.dropped)
+        self.assertEqual(["ip:1/h"], self.rig.port.released_runs)
 
     def test_caller_disconnects_during_the_move(self) -> None:
         self.begin()
@@ -154,7 +154,7 @@
         self.assertTrue(self.first.call.is_cancelled)
         self.answer()
         self.assertEqual(1, len(self.rig.port.sent))
-        self.assertEqual(["ip:1/h"], self.rig.port.dropped)
+        self.assertEqual(["ip:1/h"], self.rig.port.released_runs)
 
     def test_stream_moves_twice(self) -> None:
         caller = self.begin()
@@ -167,7 +167,7 @@
         self.answer("ip:2/h")
         second.sink.failed(LOST)
         self.assertEqual("ip:2/h", self.rig.port.sent[2].order.moved_from)
-        self.go_on(4)
+        self.finish_with(4)
         self.assertEqual(events(1, 2, 3, 4), caller.body)
 
     def test_stream_that_cannot_move_stays(self) -> None:
@@ -198,5 +198,5 @@
         self.rig.forwarder.window.ratio = 0.0
         self.answer()
         self.first.sink.failed(LOST)
-        self.go_on(3)
+        self.finish_with(3)
         self.assertEqual(events(1, 2, 3), caller.body)
