--- a/sequoiawind/prompt_cache.py
+++ b/sequoiawind/prompt_cache.py
@@ -25,7 +25,7 @@
     """The parameters of a request to a model, without its text."""
 
     model: str
-    # Tokens of the prompt, and the maximum of tokens to generate.
+    # Tokens of the prompt, and the maximum number of tokens to generate.
     tokens: int
     max_tokens: int
     # The caller's estimate of the generated tokens; 0 if it gave none.
@@ -97,7 +97,7 @@
 def covered_parts(
     salt: str, parts: Sequence[PromptPart], caches: Sequence[HeldParts]
 ) -> int:
-    """Return how many parts of a prompt's prefix are each held by a cache."""
+    """Return how many leading parts of a prompt are held by some cache."""
     count = 0
     for part in parts:
         if not any(cache.holds(salt, part) for cache in caches):
@@ -111,8 +111,8 @@
 ) -> str:
     """Return the salt under which a prompt's parts are cached.
 
-    Parts are shared among the accounts that are not isolated, and never
-    among versions of the weights.
+    Accounts that are not isolated share their parts.  Parts are never shared
+    between models or between versions of the weights.
     """
     owner = f"a:{account}" if is_isolated else "shared"
     return xxh3_64_hexdigest(f"{model}\n{version}\n{owner}".encode())
--- a/sequoiawind/target_choice.py
+++ b/sequoiawind/target_choice.py
@@ -27,8 +27,8 @@
     covered_parts,
 )
 
-# Cost of a request that is already running, in prompt tokens that could be
-# prefilled in the time of its share of the batch's steps.
+# Cost of a request that is already running, in prompt tokens to prefill: as
+# many as the target could prefill in the request's share of the batch's steps.
 RUNNING_TOKENS: Final = 120
 # Tokens assumed to be prefilled for a prompt of another router, until this
 # router has sent prompts of its own: a prompt of common size.
@@ -78,7 +78,8 @@
     """Where a target may fetch a prompt's cached prefix."""
 
     address: str = ""
-    # Parts that the target has after the fetch, its own included.
+    # Number of the prompt's leading parts that the target holds after the
+    # fetch, including those that it held before.
     parts: int = 0
     # Tokens to fetch.
     tokens: int = 0
@@ -207,10 +208,10 @@
 
         A source need not hold the parts that the target holds itself.
         """
-        own = self.held.get(view.target.name) or HeldParts(capacity_tokens=0)
+        local = self.held.get(view.target.name) or HeldParts(capacity_tokens=0)
         parts = prompt.parts
-        has = covered_parts(salt, parts, [own])
-        best = Source(parts=has)
+        local_count = covered_parts(salt, parts, [local])
+        best = Source(parts=local_count)
         # A transfer between failure domains takes twice as long.
         near_first = sorted(
             self.pool,
@@ -220,11 +221,11 @@
             held = self.held.get(other.target.name)
             if other is view or held is None:
                 continue
-            count = covered_parts(salt, parts, [own, held])
+            count = covered_parts(salt, parts, [local, held])
             if count > best.parts:
                 best = Source(address=other.target.address, parts=count)
         if self.cache_store is not None:
-            count = covered_parts(salt, parts, [own, self.cache_store.held])
+            count = covered_parts(salt, parts, [local, self.cache_store.held])
             if count > best.parts:
                 best = Source(
                     address=self.cache_store.address,
@@ -232,12 +233,13 @@
                     fetch_cost=CACHE_STORE_FETCH_COST,
                 )
         if best.address:
-            fetched = parts[has : best.parts]
+            fetched = parts[local_count : best.parts]
             tokens = sum(part.tokens for part in fetched)
             return attrs.evolve(best, tokens=tokens)
-        if has:
+        if local_count:
             return best
-        # Another router may have sent the prompt's prefix to its home.
+        # No cache is known to hold the first part, but another router may have
+        # sent the prompt's prefix to its home.
         for other in self.pool:
             if other is not view and other.target.name in homes:
                 return Source(address=other.target.address)
--- a/tests/test_target_choice.py
+++ b/tests/test_target_choice.py
@@ -40,7 +40,7 @@
         chosen = chooser.choose(views, PROMPT, "a", False, oldest)
         return chosen.view.target.name if chosen else None
 
-    def test_same_home_at_every_router(self) -> None:
+    def test_home_does_not_depend_on_the_order_of_targets(self) -> None:
         self.assertEqual(
             self.choose(self.views(1, 1, 1), {}),
             self.choose(list(reversed(self.views(1, 1, 1))), {}),
@@ -91,7 +91,7 @@
         assert chosen is not None
         self.assertEqual("e1", chosen.view.target.name)
 
-    def test_old_weights_left_out(self) -> None:
+    def test_targets_with_too_old_weights_are_left_out(self) -> None:
         views = self.views(1, 2, 1)
         self.assertEqual("e1", self.choose(views, {}, oldest=2))
         self.assertEqual(None, self.choose(views, {}, oldest=3))
@@ -125,14 +125,14 @@
     def test_cache_store_completes_what_the_target_holds(self) -> None:
         # The cache store has evicted the first part, which the target holds.
         salt = cache_salt("a", "m", 1, False)
-        own = HeldParts(capacity_tokens=10_000)
-        own.sent(salt, PROMPT.parts[:1])
-        kept = HeldParts(capacity_tokens=10_000)
-        kept.sent(salt, PROMPT.parts[1:2])
+        local = HeldParts(capacity_tokens=10_000)
+        local.sent(salt, PROMPT.parts[:1])
+        stored = HeldParts(capacity_tokens=10_000)
+        stored.sent(salt, PROMPT.parts[1:2])
         views = self.views(1)
         chooser = PromptChooser(
-            held={"e0": own},
-            cache_store=CacheStore(address="cache-store:1", held=kept),
+            held={"e0": local},
+            cache_store=CacheStore(address="cache-store:1", held=stored),
             pool=views,
             now_s=0.0,
         )
@@ -145,30 +145,31 @@
     def test_cache_store_gets_the_shared_parts_that_are_prefilled(self) -> None:
         salt = cache_salt("a", "m", 1, False)
         views = self.views(1)
-        for held, kept, expected in (
+        # How many parts the target holds, and how many the cache store.
+        for held_count, stored_count, expected in (
             (0, 0, "cache-store:1"),
             (1, 0, "cache-store:1"),
             (2, 0, ""),
             (0, 1, "cache-store:1"),
             (0, 2, ""),
         ):
-            own = HeldParts(capacity_tokens=10_000)
-            own.sent(salt, PROMPT.parts[:held])
-            cache_store = HeldParts(capacity_tokens=10_000)
-            cache_store.sent(salt, PROMPT.parts[:kept])
+            local = HeldParts(capacity_tokens=10_000)
+            local.sent(salt, PROMPT.parts[:held_count])
+            stored = HeldParts(capacity_tokens=10_000)
+            stored.sent(salt, PROMPT.parts[:stored_count])
             chooser = PromptChooser(
-                held={"e0": own},
-                cache_store=CacheStore(
-                    address="cache-store:1", held=cache_store
-                ),
+                held={"e0": local},
+                cache_store=CacheStore(address="cache-store:1", held=stored),
                 pool=views,
                 now_s=0.0,
             )
             chosen = chooser.choose(views, PROMPT, "a", False, 0)
             assert chosen is not None
-            self.assertEqual(expected, chosen.cache_store, (held, kept))
+            self.assertEqual(
+                expected, chosen.cache_store, (held_count, stored_count)
+            )
 
-    def test_salts_differ(self) -> None:
+    def test_salts_are_shared_only_among_accounts_not_isolated(self) -> None:
         salts = {
             cache_salt(account, model, version, isolated)
             for account in ("a", "b")
