--- a/sequoiawind/fleet.py
+++ b/sequoiawind/fleet.py
@@ -1,8 +1,8 @@
 """The registered targets, and which of them may get new work.
 
 Entries that vanish while the store is unavailable may only have expired: a
-live target registers again soon after the store is back.  So entries missing
-after an outage are dropped only after a grace period.
+live target registers again soon after the store has recovered.  So entries
+missing after an outage are dropped only after a grace period.
 """
 
 from collections.abc import Iterable
@@ -15,9 +15,8 @@
 from sequoiawind.members import Members
 from sequoiawind.wire import TargetStatus
 
-# Time from the store's recovery until a missing entry counts as gone, in
-# seconds: the platform guarantees that live targets register again within
-# about two.
+# Time from the store's recovery until missing entries are dropped, in seconds:
+# the platform guarantees that live targets register again within about two.
 RETURN_GRACE_S: Final = 2.2
 # Age above which an agent's status is too old to indicate its target's load,
 # in seconds.
@@ -32,12 +31,14 @@
     """One router's state for one incarnation of a target."""
 
     target: ForwardTarget
-    # The agent's last status, and when it arrived; None before the first.
+    # The agent's last status, and when it arrived, in seconds of the clock;
+    # None and negative before the first.
     status: TargetStatus | None = None
     status_s: float = -1.0
     # Requests of this router that are open at the target.
     open_requests: int = 0
-    # Those whose answer has not begun, and their tokens to prefill.
+    # The number of those whose answer has not begun, and their tokens to
+    # prefill.
     pending_prefills: int = 0
     pending_prefill_tokens: int = 0
     # Time until which the target gets no new work, in seconds of the clock.
@@ -54,8 +55,8 @@
     def takes_work(self, now_s: float, is_long: bool = False) -> bool:
         """Whether the target may get new work.
 
-        It may unless its agent's fresh status rules it out or the target has
-        shed a request lately.
+        It may unless its agent's fresh status rules that out or the target has
+        shed a request within the last `SHED_PAUSE_S`.
 
         Args:
           now_s: The time, in seconds of the clock.
@@ -70,7 +71,7 @@
         return self.shed_until_s <= now_s
 
     def is_agent_silent(self, now_s: float) -> bool:
-        """Whether the agent has reported before, but not lately."""
+        """Whether the agent has reported, but its last status is too old."""
         return self.status is not None and self.fresh_status(now_s) is None
 
     def version(self, model: str) -> int:
@@ -88,11 +89,12 @@
 
     members: Members = attrs.field(factory=Members)
     views: dict[str, TargetView] = attrs.field(factory=dict)
-    # Names of targets whose records are gone, and when each was removed.
+    # Targets whose records were removed from the store: by name, the time of
+    # the removal in seconds of the clock.
     missing: dict[str, float] = attrs.field(factory=dict)
     # When the store last recovered, in seconds of the clock.
     store_back_s: float = float("-inf")
-    is_store_away: bool = False
+    is_store_lost: bool = False
 
     def put(self, target: ForwardTarget) -> bool:
         """Add or update an entry; return whether it is a new incarnation.
@@ -119,16 +121,16 @@
 
     def store_lost(self) -> None:
         """Record that the store does not answer."""
-        self.is_store_away = True
+        self.is_store_lost = True
 
     def store_back(self, now_s: float) -> None:
         """Record that the store answers again."""
-        self.is_store_away = False
+        self.is_store_lost = False
         self.store_back_s = now_s
 
     def drop_missing(self, now_s: float) -> None:
         """Drop missing entries, unless they may only have expired."""
-        if self.is_store_away or now_s < self.missing_dropped_at_s:
+        if self.is_store_lost or now_s < self.missing_dropped_at_s:
             return
         for name in self.missing:
             self.views.pop(name, None)
@@ -137,13 +139,14 @@
 
     @property
     def missing_dropped_at_s(self) -> float:
-        """When missing entries count as gone, in seconds of the clock."""
+        """Earliest time to drop missing entries, in seconds of the clock."""
         return self.store_back_s + RETURN_GRACE_S
 
     def usable(self, pool: str, now_s: float) -> list[TargetView]:
         """Return the targets of a pool that may get new work.
 
-        Failing targets are left out, up to a set share of the pool.
+        Draining targets are left out, and failing ones up to a set share of
+        the pool.
         """
         self.drop_missing(now_s)
         views = [
@@ -162,8 +165,8 @@
     ) -> list[TargetView]:
         """Return the usable targets that take a request now.
 
-        Targets that wind down for a load get long work only if there are no
-        others.
+        Targets that wind down to load weights get long work only if there are
+        no others.
         """
         usable = self.usable(pool, now_s)
         ready = [view for view in usable if view.takes_work(now_s, is_long)]
@@ -202,7 +205,10 @@
         self.members.record_failure(name, now_s)
 
     def routers(self, now_s: float) -> int:
-        """Return the number of active routers by the agents; 0 if unknown."""
+        """Return the number of active routers; 0 if unknown.
+
+        It is the highest number that an agent's fresh status states.
+        """
         counts = [
             status.routers
             for view in self.views.values()
@@ -216,8 +222,8 @@
 ) -> list[TargetView]:
     """Return a pool's targets, the newest one for each address.
 
-    The entry of a crashed target stays for a while; an entry with the same
-    address and a later start shows that it is gone.
+    The entry of a crashed target stays until it expires; an entry with the
+    same address and a later start shows that the crashed one does not run.
     """
     newest: dict[str, TargetView] = {}
     for view in views:
--- a/sequoiawind/forward_agent.py
+++ b/sequoiawind/forward_agent.py
@@ -29,8 +29,8 @@
 
 Logger = structlog.typing.FilteringBoundLogger
 
-# Interval between the target's reports, in seconds; cheap, as the agent runs
-# on the target's VM.
+# Interval at which the target is polled for its report, in seconds.  Polling is
+# cheap, as the agent runs on the target's VM.
 REPORT_S: Final = 0.1
 REPORT_TIMEOUT_S: Final = 0.2
 # Consecutive unanswered report requests after which the target counts as lost.
@@ -47,11 +47,11 @@
 # Maximum time for which the end of a load is polled at that interval, in
 # seconds; the runs of a target in trouble may take longer.
 LOAD_WATCH_S: Final = 4.0
-# Time after an order without an answer before the target counts as not
-# loading, in seconds.
+# Time after the order until the target no longer counts as loading unless it
+# reports that it is, in seconds.
 UNANSWERED_S: Final = 0.5
-# Change in the number of running or waiting requests that is published.
-LOAD_STEP: Final = 4
+# Least change in the number of running or waiting requests that is published.
+REQUESTS_STEP: Final = 4
 # The same for requests in prefill, which cost far more.
 READING_STEP: Final = 2
 # Time for which a router counts as active after its last poll, in seconds.
@@ -80,16 +80,19 @@
     # Time within which all targets must have newly named weights.
     weights_s: float
     peers: PeerPort
-    # Versions by model, in the order in which they were named.
+    # Versions by model, in the order in which operators named them.
     named: dict[str, list[NamedVersion]] = attrs.field(factory=dict)
+    # The published status.
     status: TargetStatus = attrs.field(factory=TargetStatus)
-    # Time of each router's last poll, by router name.
+    # Time of each router's last poll, by router name; in seconds of the clock.
     routers: dict[str, float] = attrs.field(factory=dict)
+    # Polls that wait for a newer status.
     watchers: list[Deferred[None]] = attrs.field(factory=list)
-    # Time until which the target counts as loading without its own report,
-    # because an order is announced or sent; in seconds of the clock.
+    # Time until which the target counts as loading even if its report does not
+    # say so, because an order is announced or sent; in seconds of the clock.
     loading_until_s: float = -1.0
-    # Since when the target takes short runs only; None if it takes all.
+    # Since when the target takes short runs only, in seconds of the clock; None
+    # if it takes all.
     winding_down_since_s: float | None = None
     is_reachable: bool = False
     # Consecutive report requests without an answer.
@@ -117,7 +120,7 @@
         return True
 
     async def step(self) -> None:
-        """Get the target's report, and order the weights that it lacks."""
+        """Get and publish the target's report; order weights that are due."""
         answered = await self.port.report(self.address, REPORT_TIMEOUT_S)
         if answered.is_error():
             self.report_missed(answered.error)
@@ -125,7 +128,7 @@
         self.misses = 0
         if not self.is_reachable:
             self.is_reachable = True
-            self.log.info("target regained", orders=answered.ok.orders)
+            self.log.info("target reachable", orders=answered.ok.orders)
         self.publish_report(answered.ok)
         for model in self.named:
             due = await self.due(answered.ok, model)
@@ -138,7 +141,10 @@
         self.winding_down_since_s = None
 
     def report_missed(self, failure: Failure) -> None:
-        """Count an unanswered report request; publish the loss of a target."""
+        """Count an unanswered report request.
+
+        After `LOST_AFTER_MISSES` the target is published as unreachable.
+        """
         self.misses += 1
         if self.misses < LOST_AFTER_MISSES or not self.is_reachable:
             return
@@ -186,7 +192,8 @@
         Args:
           model: The model.
           version: Its new weights version.
-          is_late: It may have been named long ago, as before a restart; the
+          is_late: Whether it may have been named long ago, as it was found by
+            reading all records after a start or a failure of the store; the
             target then loads it without waiting for its turn.
         """
         named_s = float("-inf") if is_late else self.clock.seconds()
@@ -214,6 +221,7 @@
         ahead: list[Progress] = []
         for name in turn.predecessors:
             ahead.append(await self.progress(name, model, newest))
+            # `turn_state` needs just two available predecessors.
             if ahead.count(Progress.ABSENT) < len(ahead) - 1:
                 break
         is_turn = rollout.turn_state(ahead)
@@ -337,14 +345,14 @@
         self.routers[router] = self.clock.seconds()
 
     def count_routers(self, now_s: float) -> int:
-        """Return the number of active routers; forget the others."""
+        """Return the number of active routers; remove the others."""
         for name, polled_s in list(self.routers.items()):
             if now_s - polled_s > ROUTER_ACTIVE_S:
                 del self.routers[name]
         return len(self.routers)
 
     async def wait_for_status(self, number: int, wait_s: float) -> TargetStatus:
-        """Return the status, waiting for one newer than a number.
+        """Return the status, waiting a limited time for one that is newer.
 
         Args:
           number: Number of the status that the router has.
@@ -368,13 +376,13 @@
 
 def needs_publishing(old: TargetStatus, new: TargetStatus) -> bool:
     """Whether a new status differs enough to be published."""
-    if abs(old.running - new.running) >= LOAD_STEP:
+    if abs(old.running - new.running) >= REQUESTS_STEP:
         return True
     if abs(old.reading - new.reading) >= READING_STEP:
         return True
     if (old.waiting == 0) != (new.waiting == 0):
         return True
-    if abs(old.waiting - new.waiting) >= LOAD_STEP:
+    if abs(old.waiting - new.waiting) >= REQUESTS_STEP:
         return True
     return (
         old.target != new.target
--- a/sequoiawind/rollout.py
+++ b/sequoiawind/rollout.py
@@ -2,9 +2,9 @@
 
 Prevents all targets of a pool from loading at the same time: a target takes no
 work while it loads, and loads are slow when many run.  The targets take turns
-in an order that every agent computes on its own: a target begins when the one
-a few places before it has loaded, which its agent finds out by polling that
-target's agent.  Versions that are superseded meanwhile are skipped.
+in an order that every agent computes on its own.  A target begins when the one
+a few places before it has loaded; its agent learns this by polling the agent of
+that target.  Versions that are superseded meanwhile are skipped.
 
 A target has to end its runs before it loads, and takes no work meanwhile.  So
 it winds down first: for a while it takes short runs only.
@@ -28,9 +28,9 @@
 # that sends it orders.
 FENCING: Final = 1
 # Minimum number of a pool's targets that load concurrently.
-MIN_LOADS_AT_ONCE: Final = 2
-# Time from one target's turn to the next's, in seconds: for its queue and runs
-# to end and its weights to load.
+MIN_CONCURRENT_LOADS: Final = 2
+# Time from one target's turn to the next's, in seconds: for its queue to empty,
+# its runs to end and its weights to load.
 TURN_S: Final = 1.5
 # Share of the time allowed for new weights after which a target loads even if
 # it is not its turn; the rest is for its queue, its runs and the load.
@@ -76,12 +76,12 @@
         """Whether some run counts as long; if unknown, whether any runs."""
         if self.runs is None:
             return self.running > 0
-        return any(made >= LONG_RUN_EVENTS for made in self.runs)
+        return any(events >= LONG_RUN_EVENTS for events in self.runs)
 
 
 @attrs.frozen(kw_only=True)
 class LoadOrder:
-    """An order to load weights."""
+    """An order to load weights, from the agent named by `holder`."""
 
     model: str
     version: int
@@ -95,6 +95,7 @@
     """A target's answer to an order."""
 
     ACCEPTED = "accepted"
+    # The target already has these weights.
     HOLDS = "holds"
     REFUSED = "refused"
 
@@ -118,6 +119,7 @@
     """A weights version of a model, and when it was named."""
 
     version: int
+    # In seconds of the clock.
     named_s: float
 
 
@@ -162,19 +164,19 @@
     ordered = sorted(
         {*pool, name}, key=lambda item: (xxh3_64_intdigest(item.encode()), item)
     )
-    at_once = loads_at_once(len(ordered), allowed_s)
+    concurrent = concurrent_loads(len(ordered), allowed_s)
     rank = ordered.index(name)
-    before = range(rank - at_once, -1, -at_once)
+    before = range(rank - concurrent, -1, -concurrent)
     return Turn(predecessors=tuple(ordered[place] for place in before))
 
 
-def loads_at_once(targets: int, allowed_s: float) -> int:
+def concurrent_loads(targets: int, allowed_s: float) -> int:
     """Return how many targets of a pool load concurrently.
 
     As few as the time allowed permits, so that most of the pool serves.
     """
     needed = targets * TURN_S / (OVERDUE_SHARE * allowed_s)
-    return max(MIN_LOADS_AT_ONCE, round(needed))
+    return max(MIN_CONCURRENT_LOADS, round(needed))
 
 
 def add_version(named: list[NamedVersion], item: NamedVersion) -> None:
@@ -189,7 +191,7 @@
 
 
 def turn_state(ahead: Sequence[Progress]) -> bool | None:
-    """Return whether it is a target's turn; None if it need not wind down.
+    """Return whether it is a target's turn; None if it is not to wind down yet.
 
     A target winds down once the nearest one before it is loading, or the
     second one before it has loaded or does not exist.  So it is ready when its
@@ -206,7 +208,7 @@
 
 
 def has_wound_down(report: TargetReport, waited_s: float) -> bool:
-    """Whether a target that winds down may load now."""
+    """Whether a target may load after winding down for `waited_s`."""
     if report.running == 0 or waited_s >= WIND_DOWN_CAP_S:
         return True
     return waited_s >= WIND_DOWN_S and not report.has_long_runs
@@ -215,7 +217,12 @@
 def lacking(
     has: int | None, named: Sequence[NamedVersion]
 ) -> list[NamedVersion]:
-    """Return the named versions that a target lacks, the oldest first."""
+    """Return the named versions that a target lacks, the oldest first.
+
+    Args:
+      has: The target's version; None if it reports none of the model.
+      named: The versions named for the model, the oldest first.
+    """
     if has is None:
         return []
     return [item for item in named if item.version > has]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -44,7 +44,7 @@
         fleet.put(target("t1", born_ms=1, address="old:1"))
         self.assertEqual("new:1", fleet.views["t1"].target.address)
 
-    def test_replaced_at_its_address(self) -> None:
+    def test_older_target_at_the_same_address_gets_no_work(self) -> None:
         # After a restart entries are read in any order, and the old one may
         # not have expired yet.
         old = target("t1", address="ip:1", born_ms=1)
@@ -57,7 +57,7 @@
             usable = fleet.usable("app", 0.0)
             self.assertEqual(["t2"], [view.target.name for view in usable])
 
-    def test_draining_gets_no_work(self) -> None:
+    def test_draining_target_gets_no_work(self) -> None:
         fleet = Fleet()
         fleet.put(target("t1"))
         fleet.put(target("t1", is_draining=True))
@@ -89,9 +89,9 @@
 
 
 class StatusTest(TestCase):
-    """Agents' statuses keep work away from targets that cannot take it."""
+    """Agents' statuses show which targets cannot take work."""
 
-    def test_ready(self) -> None:
+    def test_targets_that_cannot_take_work_are_not_ready(self) -> None:
         for status, received_s, expected in (
             (TargetStatus(), 9.5, 1),
             (TargetStatus(is_loading=True), 9.5, 0),
@@ -127,7 +127,7 @@
 class LikelyLengthTest(TestCase):
     """The caller's estimate is used, limited to the tokens allowed."""
 
-    def test_likely_tokens(self) -> None:
+    def test_estimate_is_limited_to_the_tokens_allowed(self) -> None:
         for allowed, expected, likely in (
             (90, 0, 90),
             (90, 20, 20),
@@ -145,7 +145,7 @@
 class FreshnessTest(TestCase):
     """Age counts from when the confirmed request was sent."""
 
-    def test_age(self) -> None:
+    def test_age_counts_from_the_latest_confirmed_request(self) -> None:
         clock = Clock()
         fresh = Freshness(revoke_s=5.0, in_force_s=2.0, now=clock.seconds)
         self.assertFalse(fresh.may_trust_keys)
@@ -191,21 +191,21 @@
 class RolloutTest(TestCase):
     """Targets load new weights in turns, and never older ones."""
 
-    def test_turns(self) -> None:
+    def test_turns_fit_into_the_time_allowed(self) -> None:
         for count in (1, 2, 6, 9, 60):
             pool = [f"e{number}" for number in range(count)]
             predecessors = {
                 name: rollout.turn(name, pool, 6.0).predecessors
                 for name in pool
             }
-            at_once = rollout.loads_at_once(count, 6.0)
+            concurrent = rollout.concurrent_loads(count, 6.0)
             first = [name for name in pool if not predecessors[name]]
-            self.assertEqual(min(count, at_once), len(first))
+            self.assertEqual(min(count, concurrent), len(first))
             # No two targets have the same direct predecessor.
             followed = [names[0] for names in predecessors.values() if names]
             self.assertEqual(len(set(followed)), len(followed))
             # All targets get their turn within the time allowed.
-            self.assertTrue(-(-count // at_once) * rollout.TURN_S <= 6.0)
+            self.assertTrue(-(-count // concurrent) * rollout.TURN_S <= 6.0)
 
     def test_lacking(self) -> None:
         named = [
@@ -271,23 +271,23 @@
 
     def __init__(self, *answers: Result[KeyedPage, ReadFailure]) -> None:
         self.answers = list(answers)
-        self.asked: list[str] = []
+        self.requests: list[str] = []
 
     async def newest(
         self, topic: str, after: str, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        self.asked.append(f"newest {after}".strip())
+        self.requests.append(f"newest {after}".strip())
         return self.answers.pop(0)
 
     async def read(
         self, topic: str, start: int, wait_s: float, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        self.asked.append(f"read {start}")
+        self.requests.append(f"read {start}")
         return self.answers.pop(0)
 
 
-class Notes:
-    """A reader that records the calls that it gets."""
+class RecordingReader:
+    """Records the calls that the follower makes to its reader."""
 
     def __init__(self) -> None:
         self.calls: list[str] = []
@@ -320,11 +320,11 @@
     def follow(
         self, *answers: Result[KeyedPage, ReadFailure]
     ) -> tuple[list[str], list[str]]:
-        clock, notes, store = Clock(), Notes(), FakeStore(*answers)
+        clock, reader, store = Clock(), RecordingReader(), FakeStore(*answers)
         follower = RecordFollower(
             topic="t",
             port=store,
-            reader=notes,
+            reader=reader,
             clock=clock,
             random=random.Random(1),
             wait_s=1.0,
@@ -336,28 +336,28 @@
                 break
             Deferred.fromCoroutine(follower.step())
             clock.advance(1.0)
-        return store.asked, notes.calls
+        return store.requests, reader.calls
 
     def test_pages_form_one_list_and_changes_follow_the_first(self) -> None:
-        asked, calls = self.follow(
+        requests, calls = self.follow(
             Ok(page(7, "a", has_more=True)), Ok(page(9, "b")), Ok(page(8, "c"))
         )
-        self.assertEqual(["newest", "newest a", "read 7"], asked)
+        self.assertEqual(["newest", "newest a", "read 7"], requests)
         self.assertEqual(["all a b", "as of 0", "changed c", "as of 1"], calls)
 
-    def test_records_lost(self) -> None:
-        asked, calls = self.follow(
+    def test_all_records_are_read_again_if_some_were_lost(self) -> None:
+        requests, calls = self.follow(
             Ok(page(7, "a")), Error(RecordsLost()), Ok(page(20, "b"))
         )
-        self.assertEqual(["newest", "read 7", "newest"], asked)
+        self.assertEqual(["newest", "read 7", "newest"], requests)
         self.assertEqual(["all a", "as of 0", "all b", "as of 2"], calls)
 
-    def test_store_away(self) -> None:
+    def test_all_records_are_read_again_after_an_outage(self) -> None:
         lost = Error(may_have_run(Reason.CONNECTION_LOST, "reset"))
-        asked, calls = self.follow(
+        requests, calls = self.follow(
             Ok(page(7, "a")), lost, lost, Ok(page(9, "a"))
         )
-        self.assertEqual(["newest", "read 7", "newest", "newest"], asked)
+        self.assertEqual(["newest", "read 7", "newest", "newest"], requests)
         self.assertEqual(
             ["all a", "as of 0", "lost", "back", "all a", "as of 3"], calls
         )
--- a/tests/test_forward_agent.py
+++ b/tests/test_forward_agent.py
@@ -26,7 +26,9 @@
     orders: list[LoadOrder] = attrs.field(factory=list)
     # Whether each report shows one waiting request less.
     drains_queue: bool = False
+    # Whether it answers orders.
     is_answering: bool = True
+    # Whether it does not answer report requests.
     is_silent: bool = False
 
     async def report(
@@ -166,7 +168,7 @@
         self.advance(clock, 0.3)
         self.assertEqual(1, len(fake.orders))
 
-    def test_ordered_although_the_queue_does_not_empty(self) -> None:
+    def test_ordered_after_a_limit_if_the_queue_does_not_empty(self) -> None:
         clock, agent, fake = self.make(waiting=5)
         agent.weights_named("m", 2, False)
         self.advance(clock, 0.9)
