--- a/sequoiawind/event_stream.py
+++ b/sequoiawind/event_stream.py
@@ -25,6 +25,7 @@
 class EventSplitter:
     """Buffers bytes and returns complete events."""
 
+    # The beginning of an event that is not complete yet.
     rest: bytes = b""
 
     def take(self, data: bytes) -> list[Event]:
--- a/sequoiawind/freshness.py
+++ b/sequoiawind/freshness.py
@@ -31,6 +31,8 @@
     # Time within which a change must be in force, in seconds.
     in_force_s: float
     now: Callable[[], float] = suspended_clock_s
+    # Latest time, by `now`, as of which the configuration is known to have been
+    # current; None before the first confirmation.
     current_as_of_s: float | None = None
 
     def confirmed(self, request_time_s: float) -> None:
--- a/sequoiawind/repeat_window.py
+++ b/sequoiawind/repeat_window.py
@@ -34,7 +34,7 @@
 class RepeatWindow:
     """Counts first attempts and repeats by pool."""
 
-    # Repeats allowed for each request.
+    # Repeats allowed for each first attempt in the window.
     ratio: float
     # Further repeats allowed in one window, for all routers together.
     allowance: float
@@ -54,9 +54,9 @@
           routers: Number of routers; 0 if unknown.
         """
         sends = self.sends_of(pool, now_s)
-        known = routers or ASSUMED_ROUTERS
+        router_count = routers or ASSUMED_ROUTERS
         bound = USED_SHARE * (
-            self.ratio * len(sends.first_s) + self.allowance / known
+            self.ratio * len(sends.first_s) + self.allowance / router_count
         )
         if len(sends.repeats_s) + 1 > bound:
             return False
--- a/sequoiawind/retries.py
+++ b/sequoiawind/retries.py
@@ -14,8 +14,8 @@
 from sequoiawind.verdict import Failure, Reason, Verdict
 
 # Refusals after which the next target is likely to accept.  They cost the
-# target almost nothing, and their number is bounded by the walk over the
-# targets, so they need no budget.
+# target almost nothing, and their number is bounded by the list of targets that
+# a request tries in turn, so they need no budget.
 SPILL_REASONS: Final = frozenset(
     {
         Reason.QUEUE_FULL,
@@ -39,6 +39,7 @@
 class RetryBudgets:
     """Budgets by account."""
 
+    # Retries that each first attempt earns, and the most that a budget holds.
     ratio: float = defaults.RETRY_RATIO
     reserve: float = defaults.RETRY_RESERVE
     budgets: dict[str, Budget] = attrs.field(factory=dict)
