--- a/sequoiawind/forward_agent.py
+++ b/sequoiawind/forward_agent.py
@@ -44,8 +44,8 @@
 QUEUE_DRAIN_S: Final = 1.0
 # Interval between reports while the queue drains or a load runs, in seconds.
 QUEUE_CHECK_S: Final = 0.03
-# Maximum time for which the end of a load is polled at that interval, in
-# seconds; the runs of a target in trouble may take longer.
+# Maximum time for which a load is polled at that interval, in seconds; a target
+# in trouble may take longer to end its runs.
 LOAD_WATCH_S: Final = 4.0
 # Time after the order until the target no longer counts as loading unless it
 # reports that it is, in seconds.
--- a/sequoiawind/forward_ports.py
+++ b/sequoiawind/forward_ports.py
@@ -106,6 +106,7 @@
     """A prompt part of which a cache now holds more or fewer tokens."""
 
     salt: str
+    # Id of the part, and its tokens that the cache holds now.
     part: str
     tokens: int
 
--- a/sequoiawind/forwarding.py
+++ b/sequoiawind/forwarding.py
@@ -344,18 +344,18 @@
     # Answers.
 
     def take_event(
-        self, attempt: ForwardAttempt, data: bytes, event: int | None
+        self, attempt: ForwardAttempt, data: bytes, event_id: int | None
     ) -> None:
         """Send a complete event to the caller, unless it has it already."""
         if self.is_finished or attempt.answer is None:
             return
         if attempt.move is None:
             self.set_pause_timeout(attempt)
-        if event is not None:
-            if self.last_event is not None and event <= self.last_event:
+        if event_id is not None:
+            if self.last_event is not None and event_id <= self.last_event:
                 self.note.repeated_chunks += 1
                 return
-            self.last_event = event
+            self.last_event = event_id
         if self.note.first_chunk_s < 0.0:
             self.note.first_chunk_s = self.now_s
         self.pass_head(attempt.answer)
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -244,7 +244,8 @@
 class KeyTest(TestCase):
     """Keys and routes are checked against a configuration of known age."""
 
-    def refusal(self, rig: ForwardRig, **fields: str) -> int:
+    def submit_status(self, rig: ForwardRig, **fields: str) -> int:
+        """Submit a request; return the status of a refusal, or 200."""
         caller = rig.submit("read", **fields)
         if caller.failure is None:
             return 200
@@ -265,13 +266,13 @@
             rig = ForwardRig()
             rig.add(target("t1"))
             rig.clock.advance(age_s)
-            got = self.refusal(rig, key=key, host=host)
+            got = self.submit_status(rig, key=key, host=host)
             self.assertEqual(status, got, (age_s, key, host))
 
     def test_missing_configuration_is_not_reported_as_denial(self) -> None:
         rig = ForwardRig()
         rig.board.folded = type(rig.board.folded)()
-        self.assertEqual(503, self.refusal(rig))
+        self.assertEqual(503, self.submit_status(rig))
 
     def test_key_revoked_while_the_request_waits(self) -> None:
         rig = ForwardRig()
