--- a/sequoiawind/admission.py
+++ b/sequoiawind/admission.py
@@ -1,9 +1,10 @@
 """Admission at an agent: a weighted fair queue before one target.
 
 The queue is start-time fair queueing over client accounts (Goyal, Vin and
-Cheng, 1996).  A kind's priority multiplies the account's weight, so a higher
-priority gets a larger share without starving the rest.  Work is refused
-early, as not run, when its estimated wait is longer than its limit.
+Cheng, 1996), except that jobs start in the order of their finish tags.  Each
+step of a kind's priority doubles the account's weight, so a higher priority
+gets a larger share without starving the rest.  Work is refused early, as not
+run, when its estimated wait is longer than its limit.
 """
 
 import heapq
@@ -15,11 +16,12 @@
 from sequoiawind import defaults, messages
 from sequoiawind.verdict import Failure, Reason, not_run
 
+# Priority with which the account's weight counts unchanged.
 NEUTRAL_PRIORITY: Final = 5
 # Cost of one request beyond its tokens, in tokens.
 REQUEST_COST_TOKENS: Final = 64
-# Time over its limit that a queued job may wait before it is refused.  Up to
-# this, the estimate made at its admission stands.
+# Time over its limit that a queued job may wait before it is refused.  The job
+# was admitted by an estimate, whose smaller errors are tolerated.
 OVERDUE_SLACK_S: Final = 0.1
 
 
@@ -42,8 +44,10 @@
     # starts after that one's first token.
     after: str = ""
     enqueued_s: float = 0.0
+    # Tags of fair queueing, in tokens divided by the share.
     start_tag: float = 0.0
     finish_tag: float = 0.0
+    # When the job started, in seconds; negative if it has not.
     started_s: float = -1.0
     # Whether the target has yielded the first token.
     prefilled: bool = False
@@ -51,7 +55,7 @@
 
     @property
     def cost(self) -> float:
-        """Work of the job in tokens, prompt and generated ones."""
+        """Work of the job in prompt tokens; a generated token counts as 4."""
         return (
             REQUEST_COST_TOKENS + self.prefill_tokens + 4.0 * self.decode_tokens
         )
@@ -63,14 +67,19 @@
 
     max_running: int = defaults.MAX_RUNNING
     max_queue: int = defaults.MAX_QUEUE
+    # Prompt tokens that started jobs may have left to compute together.
     max_prefill_ahead: int = defaults.MAX_PREFILL_AHEAD_TOKENS
     prefill_tokens_per_s: float = defaults.PREFILL_TOKENS_PER_S
+    # Largest start tag of the jobs that have started.
     virtual_time: float = 0.0
     # Finish tag of each account's last job.
     last_tags: dict[str, float] = attrs.field(factory=dict)
+    # Finish tag, sequence number and job; a withdrawn job stays until it is
+    # popped.
     heap: list[tuple[float, int, Job]] = attrs.field(factory=list)
     sequence: int = 0
     running: dict[str, Job] = attrs.field(factory=dict)
+    # Number of queued jobs, without those withdrawn.
     queued: int = 0
     # Names of the queued jobs.
     waiting: set[str] = attrs.field(factory=set)
--- a/sequoiawind/limits.py
+++ b/sequoiawind/limits.py
@@ -4,8 +4,8 @@
 routers send each other the demand they see, and a router's share is its part
 of the sum.  With ``n`` routers the sum of the shares is at most 1 while all
 receive each other's demand; after a change of demand the excess lasts until
-the next exchange, so an account can exceed its rate by at most the limit times
-the share that moved, for one exchange period.  Demand below a tenth of a
+the routers next send theirs, so an account can exceed its rate by at most the
+limit times the share that moved, for one period.  Demand below a tenth of a
 router's equal part is not sent, which adds at most a tenth to the bound.
 """
 
@@ -44,6 +44,7 @@
     """The demand last received from another router."""
 
     received_s: float
+    # Requests a second by account.
     demand: Mapping[str, float]
 
 
@@ -54,7 +55,7 @@
     period_s: float = defaults.LIMIT_SHARE_PERIOD_S
     usage: dict[str, AccountUsage] = attrs.field(factory=dict)
     peers: dict[str, PeerDemand] = attrs.field(factory=dict)
-    # Routers in the settings, this one included.
+    # Number of routers in the settings, this one included.
     routers: int = 1
 
     def admit(self, account: Account, now_s: float) -> Failure | None:
@@ -127,7 +128,7 @@
         return floor + (1.0 - floor * self.routers) * own_demand / total
 
     def peer_demand(self, account: str, now_s: float) -> float | None:
-        """Return the other routers' demand; None if one's is missing or old."""
+        """Return the other routers' demand; None if any is missing or old."""
         if len(self.peers) < self.routers - 1:
             return None
         total = 0.0
@@ -148,8 +149,8 @@
                 reported[name] = round(usage.demand, 2)
             if usage.demand < MIN_TRACKED_DEMAND and not usage.open_requests:
                 del self.usage[name]
-        hottest = sorted(reported, key=reported.__getitem__, reverse=True)
-        kept = hottest[: defaults.MAX_REPORTED_ACCOUNTS]
+        largest = sorted(reported, key=reported.__getitem__, reverse=True)
+        kept = largest[: defaults.MAX_REPORTED_ACCOUNTS]
         return {name: reported[name] for name in kept}
 
     def report_threshold(self, usage: AccountUsage) -> float:
--- a/sequoiawind/placement.py
+++ b/sequoiawind/placement.py
@@ -17,6 +17,7 @@
     """A target that may serve a request."""
 
     name: str
+    # Address of the target's agent.
     address: str
     domain: str = ""
     # Seed of the target's rendezvous scores; the hash of its name.
@@ -50,7 +51,7 @@
     max_first_s: float
     # Cost of placing the request there, in seconds; infinite if unknown.
     cost_s: float = 0.0
-    # The target refuses if the cost is larger; negative for no such limit.
+    # Cost above which the target refuses, in seconds; negative for no limit.
     max_cost_s: float = -1.0
     # Whether the target reported that it could start immediately.
     is_idle: bool = False
--- a/sequoiawind/placer.py
+++ b/sequoiawind/placer.py
@@ -2,9 +2,9 @@
 
 The first target in rendezvous order over the placement key is the home of a
 prompt.  The home's agent, which knows the cached blocks and the length of the
-queue, refuses if the cost there is over a limit.  The cost is the wait plus the
-time to compute the tokens that are not cached, weighted by the route's
-patience.  After such a refusal the router probes the agents of the next
+queue, refuses if the cost there is over a limit.  The cost is the wait plus
+`patience` (a field of the policy) times the time to compute the tokens that
+are not cached.  After such a refusal the router probes the agents of the next
 targets and takes the target with the lowest cost.  Targets whose agents do not
 answer in time come last.
 """
@@ -36,9 +36,10 @@
     """The targets that a request may be sent to, best first."""
 
     choices: list[Choice]
-    # Returns other targets after the first refused for its cost.
+    # Returns the targets to try after the first has refused for wait or cost.
     replan: Replan | None = None
-    # Blocks in the placement key, for `explain request`.
+    # Number of blocks in the prefix that is the placement key, and of the
+    # targets among which that prefix is spread; for `explain request`.
     depth: int = 0
     holders: int = 0
 
@@ -119,9 +120,9 @@
     def home_cost_limit_s(self, plan: Plan) -> float:
         """Return the cost above which a prompt's home refuses it, in seconds.
 
-        The home refuses a prompt if more of its tokens are not cached there
-        than a usual question has: the prefix may be cached on another target,
-        as after a restart of this router.
+        The limit allows for computing the tokens of a usual question.  If the
+        home would have to compute more, the prefix may be cached on another
+        target, as after a restart of this router.
         """
         missing = min(plan.prompt_tokens, defaults.MAX_HOME_MISSING_TOKENS)
         compute_s = missing / defaults.PREFILL_TOKENS_PER_S
@@ -136,7 +137,10 @@
         home: Candidate,
         home_answer: ProbeAnswer,
     ) -> Deferred[list[Choice]]:
-        """Return the targets of a prompt whose home refused for its cost."""
+        """Return the targets for a prompt that its home has refused.
+
+        The home is among them, at its own cost.
+        """
         others = [item for item in ranked if item.name != home.name]
         count = max(self.probes, holders) - 1
         probing = self.probe_targets(plan, chain, others[:count])
@@ -184,7 +188,10 @@
     def choice(
         self, plan: Plan, candidate: Candidate, answer: ProbeResult
     ) -> Choice:
-        """Return a target with the cost that a probe's answer gives."""
+        """Return a target with the cost computed from its probe's answer.
+
+        The cost is infinite if the probe failed or the target is draining.
+        """
         if answer.is_error() or answer.ok.load.draining:
             return Choice(
                 candidate=candidate,
--- a/sequoiawind/plan.py
+++ b/sequoiawind/plan.py
@@ -17,11 +17,11 @@
     path: str
     method: str = "POST"
     content_type: str = "application/json"
-    # Model engines: what the body asks for.
+    # Fields of the body of a request to a model engine.
     model: str = ""
     prompt: str = ""
     max_tokens: int = defaults.DEFAULT_MAX_TOKENS
-    # The body as sent; for prompts without the prompt itself.
+    # The body as sent; for a model engine, without the field `prompt`.
     body: str = ""
     idempotency_key: str | None = None
 
@@ -44,7 +44,7 @@
 
     @cached_property
     def prompt_tokens(self) -> int:
-        """The number of tokens of the prompt."""
+        """The number of tokens of the prompt, estimated from its bytes."""
         return prefix.count_tokens(self.prompt_bytes)
 
     @property
--- a/sequoiawind/router.py
+++ b/sequoiawind/router.py
@@ -58,7 +58,7 @@
     is_ended: bool = False
 
     def chunk(self, data: bytes) -> None:
-        """Pass a chunk on to the caller."""
+        """Pass a chunk on to the caller; note when the first one arrived."""
         if self.note.first_chunk_s < 0.0:
             self.note.first_chunk_s = (
                 self.router.exchange_context.clock.seconds()
@@ -122,6 +122,8 @@
     on_end: Callable[[RequestNote, Ended], None] = attrs.field(
         default=lambda note, ended: None
     )
+    # Called with each refusal, and with the failure of each request that failed
+    # after it was accepted.
     on_refusal: Callable[[Failure], None] = attrs.field(
         default=lambda failure: None
     )
@@ -167,7 +169,7 @@
         return Ok(active_request)
 
     def plan(self, request: CallerRequest) -> Result[Plan, Failure]:
-        """Look up a request in the configuration, or return a refusal."""
+        """Authenticate and route a request; return its plan or a refusal."""
         if self.board.phase.is_closed:
             return Error(
                 not_run(Reason.SHUTTING_DOWN, messages.SHUTTING_DOWN, 1.0)
@@ -210,15 +212,15 @@
         )
 
     def authenticate(self, token: str) -> Account | None:
-        """Return the account of a bearer token."""
+        """Return the account of a bearer token, or None if it is unknown."""
         return tokens.holder_of(token, self.board.accounts_by_digest)
 
     def authenticate_operator(self, token: str) -> Operator | None:
-        """Return the operator of a bearer token."""
+        """Return the operator of a bearer token, or None if it is unknown."""
         return tokens.holder_of(token, self.board.operators_by_digest)
 
     def match(self, request: CallerRequest) -> Route | None:
-        """Return the route of a request, the longest path first."""
+        """Return the matching route with the longest path, if there is one."""
         matching = [
             route
             for route in self.board.state.routes.values()
@@ -230,7 +232,7 @@
         return max(matching, key=lambda item: (len(item.path), item.name))
 
     async def claim_and_start(self, active_request: ActiveRequest) -> None:
-        """Claim a request's idempotency key; start the request if it won."""
+        """Claim a request's key; start the request if the claim wins."""
         request = active_request.plan.request
         checked = self.check_key(request)
         if checked.is_error():
@@ -365,7 +367,7 @@
 
 
 def path_matches(route_path: str, path: str) -> bool:
-    """Whether a route's path covers a request's path."""
+    """Whether a request's path is a route's path or lies below it."""
     if not route_path:
         return False
     return path == route_path or path.startswith(route_path.rstrip("/") + "/")
--- a/sequoiawind/sharing.py
+++ b/sequoiawind/sharing.py
@@ -5,7 +5,7 @@
 prefixes that it has seen recently and splits by load: a prompt is placed by the
 shallowest prefix whose share of the traffic one target can carry.  Shares,
 unlike rates, are the same at every router, so routers agree without messages.
-If even the deepest shared prefix gets more than one target can carry, the
+If even the deepest prefix of a prompt gets more than one target can carry, the
 prompt is spread over several targets, the holders of the prefix.
 
 The counts are a bounded cache: losing them costs cache hits, never
@@ -22,14 +22,14 @@
 
 @attrs.define(kw_only=True)
 class PrefixCounter:
-    """A decaying count of the prompts that contained one prefix."""
+    """A decaying count of the prompts that began with one prefix."""
 
     count: float
     # When `count` was last updated, in seconds.
     updated_s: float
     # Whether the prefix has more load than one target can carry.
     is_split: bool = False
-    # Targets that should hold the prefix.
+    # Number of targets that should hold the prefix.
     holders: int = 1
 
 
@@ -38,9 +38,9 @@
     """The prefix by which a prompt is placed."""
 
     key: int
-    # Blocks in the prefix.
+    # Number of blocks in the prefix.
     depth: int
-    # Targets among which prompts with this prefix are spread.
+    # Number of targets among which prompts with this prefix are spread.
     holders: int
 
 
@@ -48,9 +48,11 @@
 class SharingTracker:
     """Counts prefixes and chooses placement keys."""
 
+    # Time constant of the decay of the counts.
     window_s: float = defaults.SHARING_WINDOW_S
     # Share of one target's fair load that one prefix may have.
     split_share: float = defaults.SPLIT_SHARE
+    # Share of a limit below which a split or a holder is withdrawn.
     hysteresis: float = defaults.SPLIT_HYSTERESIS
     # Prompts added to the total, so that the first few do not make a prefix
     # look overloaded.
@@ -71,12 +73,12 @@
         Args:
           chain: The prompt's prefix hashes.
           now_s: The time in seconds.
-          targets: Targets among which prompts are placed.
+          targets: Number of targets among which prompts are placed.
           account_seed: Key for a prompt too short to have a whole block.
 
         Returns:
-          The shallowest prefix that one target can carry; else the deepest
-          prefix that several prompts shared, with several holders.
+          The shallowest prefix that one target can carry; if there is none,
+          the deepest prefix, with its number of holders.
         """
         if not chain:
             return PlacementKey(key=account_seed, depth=0, holders=1)
@@ -118,7 +120,7 @@
     def update_split(
         self, counter: PrefixCounter, share: float, limit: float
     ) -> bool:
-        """Return whether a prefix has more load than one target can carry.
+        """Update and return whether a prefix has too much load for one target.
 
         Hysteresis keeps a share near the limit from moving the prefix back
         and forth, which would recompute it each time.
