--- a/sequoiawind/agent.py
+++ b/sequoiawind/agent.py
@@ -2,7 +2,8 @@
 
 It admits or refuses each attempt, queues it fairly, passes it to the target,
 and keeps the chunks for a while, so that a router whose connection broke can
-resume.  It holds the index of the engine's cache and decides on draining.
+resume.  It holds the index of the engine's cache, and refuses new work while
+the target is being drained.
 """
 
 from collections import OrderedDict
@@ -32,8 +33,9 @@
 
     agent: "Agent"
     attempt: Attempt
-    # The router's side; None while no router is connected.
+    # Passes events on to the router; None while no router is connected.
     sink: Sink | None
+    # Hashes of the engine blocks of the prompt.
     chain: list[int]
     job: Job | None = None
     call: Call | None = None
@@ -93,7 +95,7 @@
     clock: Clock
     # "engine" or "plain".
     service: str = "engine"
-    # Whether the target refuses an order with an old fencing number.
+    # Whether the target refuses an order with an older fencing number.
     checks_fencing: bool = True
     block_bytes: int = defaults.ENGINE_BLOCK_BYTES
     queue: FairQueue = attrs.field(factory=FairQueue)
@@ -102,7 +104,7 @@
     version: str = ""
     # Why no new work is accepted; empty if it is accepted.
     drain_reason: str = ""
-    is_leaving: bool = False
+    is_shutting_down: bool = False
     relays: OrderedDict[str, Relay] = attrs.field(factory=OrderedDict)
     # Maps recent placement blocks to the engine block at the end of each.
     placement_blocks: OrderedDict[int, int] = attrs.field(factory=OrderedDict)
@@ -143,7 +145,9 @@
         elif attempt.target != self.target:
             failure = not_run(Reason.NO_TARGET, messages.NO_TARGET)
         elif attempt.attempt_id in self.relays:
-            failure = may_have_run(Reason.BAD_REQUEST, "attempt id repeated")
+            failure = may_have_run(
+                Reason.BAD_REQUEST, "the attempt id was used before"
+            )
         if failure is None:
             return None
         return Ended(failure=failure, load=self.load())
@@ -212,7 +216,10 @@
         )
 
     def measure(self, relay: Relay, now_s: float) -> tuple[int, int]:
-        """Return an attempt's prompt tokens, and how many are cached."""
+        """Hash an attempt's prompt; return its tokens and those cached.
+
+        Text that earlier attempts have generated counts as prompt.
+        """
         if self.service != "engine":
             return 0, 0
         attempt = relay.attempt
@@ -274,7 +281,10 @@
         relay.call = self.port.open(self.address, relay.attempt, relay)
 
     def finished(self, relay: Relay) -> None:
-        """Free an attempt's slot and start the next."""
+        """Free an attempt's slot and start the next.
+
+        The chunks are kept for `RESUME_KEEP_S`, so that a router can resume.
+        """
         now_s = self.clock.seconds()
         self.queue.finish(relay.attempt.attempt_id, now_s)
         self.clock.callLater(
@@ -299,9 +309,11 @@
         """Deliver the rest of an attempt whose connection broke."""
         relay = self.relays.get(attempt.resume_of)
         if relay is None:
-            gone = may_have_run(Reason.CONNECTION_LOST, "nothing to resume")
+            unknown = may_have_run(
+                Reason.CONNECTION_LOST, "no attempt with the id to resume"
+            )
             empty = Relay(agent=self, attempt=attempt, sink=sink, chain=[])
-            empty.end = Ended(failure=gone, load=self.load())
+            empty.end = Ended(failure=unknown, load=self.load())
             sink.ended(empty.end)
             return AgentCall(agent=self, relay=empty)
         self.on_event("resumed")
@@ -347,14 +359,14 @@
 
         An agent that is shutting down continues to refuse new work.
         """
-        if self.is_leaving:
+        if self.is_shutting_down:
             return
         target = state.targets.get(self.target)
         self.drain_reason = target.drained if target is not None else ""
 
     def stop_admitting(self) -> None:
         """Refuse new work permanently, because the process is shutting down."""
-        self.is_leaving = True
+        self.is_shutting_down = True
         self.drain_reason = messages.SHUTTING_DOWN
 
     def is_idle(self) -> bool:
--- a/sequoiawind/chunk_order.py
+++ b/sequoiawind/chunk_order.py
@@ -49,7 +49,7 @@
         return data
 
     @property
-    def known(self) -> int:
+    def arrived(self) -> int:
         """The number of chunks that have arrived, in order or not."""
         return self.expected + len(self.early)
 
--- a/sequoiawind/claimant.py
+++ b/sequoiawind/claimant.py
@@ -1,4 +1,4 @@
-"""Running an action at most once: claim the key, send, record the outcome.
+"""Runs an action at most once: claim the key, send, record the outcome.
 
 Only the process whose claim is first in the log sends, and it sends once.  A
 claim that could not be read back is abandoned: nothing is sent, and a release
@@ -160,10 +160,10 @@
         appended = await stream.appender.append(claims.make_record(claim))
         if appended.is_error() and appended.error.verdict.value == "not_run":
             self.on_step("append_refused")
-            return Error(log_down())
+            return Error(log_unavailable())
         if not await self.read_back(stream, claim, appended):
             self.abandon(claim)
-            return Error(log_down())
+            return Error(log_unavailable())
         entry = stream.table.entries.get(claim.key)
         if entry is None:
             self.on_step("void")
@@ -204,15 +204,15 @@
         return False
 
     def abandon(self, claim: Claim) -> None:
-        """Give up a claim whose action was not sent, and release it."""
+        """Release a claim whose action was not sent, in the background."""
         self.on_step("abandoned")
         self.put(claim.key, Release(claim_id=claim.claim_id, key=claim.key))
 
     async def release(self, claim: Claim) -> None:
         """Release a claim after proof that nothing was sent.
 
-        Returns when the log has the release.  If the first append fails,
-        returns after it and leaves further ones to the outbox.
+        Returns when the log has the release, or when the first append has
+        failed; the outbox then retries.
         """
         self.on_step("released")
         stream = self.stream(claim.key)
@@ -233,7 +233,7 @@
         self.put(claim.key, node)
 
     def put(self, key: str, node: claims.ClaimNode) -> None:
-        """Append a node in the background until the log has it."""
+        """Append a node in the background, retrying until the log has it."""
         record = claims.make_record(node)
         Deferred.fromCoroutine(self.stream(key).outbox.put(record))
 
@@ -264,8 +264,8 @@
     )
 
 
-def log_down() -> Failure:
-    """Return the refusal of a claim that did not reach the log."""
+def log_unavailable() -> Failure:
+    """Return the refusal of a claim that the log has not confirmed."""
     return not_run(
         Reason.LOG_UNAVAILABLE,
         messages.LOG_UNAVAILABLE,
--- a/sequoiawind/claims.py
+++ b/sequoiawind/claims.py
@@ -61,6 +61,7 @@
     """An operator's finding about a key whose outcome was unknown."""
 
     key: str
+    # Whether the action ran.
     ran: bool
     actor: str
     because: str
@@ -91,6 +92,7 @@
     """The state of one key in a claim stream."""
 
     claim: Claim
+    # Offset of the claim's record, and when the log stored it.
     offset: int
     time_s: float
     outcome: Outcome | None = None
@@ -98,12 +100,12 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the key has neither an outcome nor been settled."""
+        """Whether the key has no outcome and has not been settled."""
         return self.outcome is None and self.settled is None
 
     @property
     def is_stuck(self) -> bool:
-        """Whether only an operator can settle the key's unknown outcome."""
+        """Whether the outcome is unknown and an operator has to settle it."""
         unknown = self.outcome is not None and not self.outcome.known
         return unknown and self.settled is None
 
@@ -115,7 +117,8 @@
     next_offset: int = 0
     # Keys in the order in which they were claimed.
     entries: OrderedDict[str, ClaimEntry] = attrs.field(factory=OrderedDict)
-    # Claims released, or abandoned before they reached the log.
+    # Log time of each release by claim id.  The release of an abandoned claim
+    # may reach the log before the claim does.
     released: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
 
     def fold(self, offset: int, time_s: float, data: str) -> None:
@@ -142,7 +145,7 @@
 
 
 def parse_node(data: str) -> ClaimNode | None:
-    """Return the node in a record, or None if its form is unknown."""
+    """Return the node in a record, or None if it cannot be decoded."""
     try:
         record = wire.decode(data, ClaimRecord)
         kind = NODES.get(record.verb)
--- a/sequoiawind/exchange.py
+++ b/sequoiawind/exchange.py
@@ -57,6 +57,8 @@
         """Receive the end of the answer, whole or failed; called once."""
 
 
+# Returns the targets to try, given the one that refused and what a probe of it
+# would have returned.
 Replan = Callable[[Candidate, ProbeAnswer], Deferred[list[Choice]]]
 
 
@@ -96,8 +98,9 @@
 
     def chunk(self, attempt_id: str, index: int, data: bytes) -> None:
         """Accept a chunk, unless it belongs to another attempt."""
-        own_id = self.attempt.resume_of or self.attempt.attempt_id
-        if self.is_over or attempt_id != own_id:
+        # The chunks of a resumed answer carry the id of its first attempt.
+        expected_id = self.attempt.resume_of or self.attempt.attempt_id
+        if self.is_over or attempt_id != expected_id:
             self.exchange.foreign_chunks += 1
             return
         self.has_received = True
@@ -154,22 +157,25 @@
     max_first_s: float = defaults.MAX_FIRST_S
     start_timeout_s: float = defaults.START_TIMEOUT_S
     chunk_timeout_s: float = defaults.CHUNK_TIMEOUT_S
-    # Returns other targets after a first refusal for wait or cost.
+    # Returns the targets to try after a first refusal for wait or cost.
     replan: Replan | None = None
     order: ChunkOrder = attrs.field(factory=ChunkOrder)
-    # Index in `choices` of the next target to try without queueing.
+    # Index in `choices` of the next target to try.
     position: int = 0
     attempts: int = 0
+    # Number of retries after failures, without those after refusals.
     retried: int = 0
     # The targets tried, in order.
     path: list[str] = attrs.field(factory=list)
     foreign_chunks: int = 0
     # Waits that refusing targets reported, by index in `choices`.
     refused_waits_s: dict[int, float] = attrs.field(factory=dict)
-    has_queued: bool = False
+    # Whether the target that refused with the shortest wait was tried again.
+    has_tried_again: bool = False
     # Number of chunks that had arrived when the answer was last resumed.
-    known_at_resume: int = -1
+    arrived_at_resume: int = -1
     current: AttemptSink | None = None
+    # When the deadline passes, in seconds of the clock.
     deadline_at_s: float = 0.0
 
     def start(self) -> None:
@@ -195,8 +201,8 @@
             choice = self.choices[self.position]
             self.position += 1
             self.open(choice.candidate, choice.max_first_s, choice.max_cost_s)
-        elif self.refused_waits_s and not self.has_queued:
-            self.has_queued = True
+        elif self.refused_waits_s and not self.has_tried_again:
+            self.has_tried_again = True
             choice_index = min(
                 self.refused_waits_s, key=self.refused_waits_s.__getitem__
             )
@@ -325,14 +331,15 @@
         """Whether the agent may still deliver the rest of the answer."""
         if not sink.has_started or failure.reason not in RESUMABLE:
             return False
+        # An attempt with a method is a call to a plain service.
         if sink.attempt.method:
             return False
         # After a resume without progress, another would not help either.
-        return self.order.known > self.known_at_resume
+        return self.order.arrived > self.arrived_at_resume
 
     def resume(self, sink: AttemptSink) -> None:
-        """Ask the same agent for the rest of the answer."""
-        self.known_at_resume = self.order.known
+        """Request the rest of the answer from the same agent."""
+        self.arrived_at_resume = self.order.arrived
         self.context.on_retry(Reason.CONNECTION_LOST)
         attempt = attrs.evolve(
             sink.attempt,
@@ -343,7 +350,7 @@
         self.send(sink.candidate, attempt)
 
     def retry(self, sink: AttemptSink, failure: Failure) -> None:
-        """Try the next target, within the retry budget."""
+        """Try the next target; spend from the retry budget after a failure."""
         self.context.on_retry(failure.reason)
         if failure.reason in retries.SPILL_REASONS:
             self.next_target(failure)
--- a/sequoiawind/keys.py
+++ b/sequoiawind/keys.py
@@ -32,8 +32,8 @@
 class KeyLimits:
     """The range of key ages that is accepted.
 
-    All claims of a key are made within the largest skew before its time and
-    the largest age after it; the log must keep the first claim that long.
+    A key can be claimed from `max_skew_s` before the time in it until
+    `max_age_s` after it; the log must keep the first claim until then.
     """
 
     max_age_s: float = defaults.KEY_MAX_AGE_S
--- a/sequoiawind/load_slots.py
+++ b/sequoiawind/load_slots.py
@@ -53,7 +53,10 @@
             self.targets.remove(record.target)
 
     def may_load(self, target: str, state: State, slots: int) -> bool:
-        """Whether a target holds a slot."""
+        """Whether a target is among the first `slots` of the queue.
+
+        Targets that are no longer in the configuration do not count.
+        """
         waiting = [name for name in self.targets if name in state.targets]
         return target in waiting[:slots]
 
