--- a/sequoiawind/agent.py
+++ b/sequoiawind/agent.py
@@ -3,7 +3,7 @@
 It admits or refuses each attempt, queues it fairly, passes it to the target,
 and keeps the chunks for a while, so that a router whose connection broke can
 resume.  It holds the index of the engine's cache, and refuses new work while
-the target is being drained.
+the target is drained or the agent shuts down.
 """
 
 from collections import OrderedDict
--- a/sequoiawind/exchange.py
+++ b/sequoiawind/exchange.py
@@ -171,7 +171,7 @@
     # Waits that refusing targets reported, by index in `choices`.
     refused_waits_s: dict[int, float] = attrs.field(factory=dict)
     # Whether the target that refused with the shortest wait was tried again.
-    has_tried_again: bool = False
+    has_tried_shortest_wait: bool = False
     # Number of chunks that had arrived when the answer was last resumed.
     arrived_at_resume: int = -1
     current: AttemptSink | None = None
@@ -201,8 +201,8 @@
             choice = self.choices[self.position]
             self.position += 1
             self.open(choice.candidate, choice.max_first_s, choice.max_cost_s)
-        elif self.refused_waits_s and not self.has_tried_again:
-            self.has_tried_again = True
+        elif self.refused_waits_s and not self.has_tried_shortest_wait:
+            self.has_tried_shortest_wait = True
             choice_index = min(
                 self.refused_waits_s, key=self.refused_waits_s.__getitem__
             )
