--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -85,7 +85,10 @@
 
 
 class EveryMomentTest(TestCase):
-    """No action runs twice, or runs although its verdict is `not_run`."""
+    """No action runs twice, or runs although its verdict is `not_run`.
+
+    Nor is an action reported as done that has not run.
+    """
 
     def check(self, fault: Callable[[Session], None], moment_ms: int) -> None:
         where = f"{fault.__name__} at {moment_ms} ms"
@@ -116,7 +119,7 @@
             for moment_ms in MOMENTS_MS:
                 self.check(fault, moment_ms)
 
-    def test_two_routers_at_the_same_moment(self) -> None:
+    def test_key_used_at_two_routers_runs_once(self) -> None:
         for moment_ms in MOMENTS_MS:
             session = Session()
             session.do_book("b0", "r0", "k", "{}")
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -114,14 +114,15 @@
         )
 
     def acquire(self, claimant: Claimant, wait_s: float = 10.0) -> object:
-        made = claimant.make_claim("nordlys/k", "d", "drop", "q", 1000.0)
+        """Acquire a new claim; keep it in `last_claim`, return the result."""
+        new_claim = claimant.make_claim("nordlys/k", "d", "drop", "q", 1000.0)
         results: list[object] = []
-        Deferred.fromCoroutine(claimant.acquire(made)).addCallback(
+        Deferred.fromCoroutine(claimant.acquire(new_claim)).addCallback(
             results.append
         )
         for _ in range(int(wait_s / 0.05)):
             self.clock.advance(0.05)
-        self.made = made
+        self.last_claim = new_claim
         return results[0]
 
     def test_one_of_two_wins(self) -> None:
@@ -134,11 +135,11 @@
     def test_repeat_gets_the_recorded_answer(self) -> None:
         winner = self.claimant("a")
         self.acquire(winner)
-        winner.record_outcome(self.made, REPLY)
+        winner.record_outcome(self.last_claim, REPLY)
         self.clock.advance(1.0)
         self.assertEqual(REPLY, self.acquire(self.claimant("b")).ok)
 
-    def test_log_down_is_not_run(self) -> None:
+    def test_request_is_not_run_if_the_log_is_down(self) -> None:
         self.log.is_down = True
         result = self.acquire(self.claimant("a"))
         self.assertEqual(Reason.LOG_UNAVAILABLE, result.error.reason)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -25,7 +25,7 @@
 
 
 class PlacementTest(TestCase):
-    """Rendezvous order is stable when a target is added."""
+    """Rendezvous order moves no more keys than needed."""
 
     def candidates(self, count: int) -> list[Candidate]:
         return [
@@ -57,13 +57,13 @@
 class PrefixTest(TestCase):
     """Prompts share hashes exactly where they share prefixes."""
 
-    def test_shared_prefix(self) -> None:
+    def test_hashes_differ_from_the_first_different_block(self) -> None:
         one = prefix.chain("s", b"a" * 3000 + b"b" * 2000)
         two = prefix.chain("s", b"a" * 3000 + b"c" * 2000)
         self.assertEqual(one[:2], two[:2])
         self.assertEqual([], [key for key in one[2:] if key in two])
 
-    def test_salts_share_nothing(self) -> None:
+    def test_accounts_and_versions_share_no_hashes(self) -> None:
         salts = {
             prefix.cache_salt(account, "m", "", version)
             for account in ("a", "b")
@@ -238,7 +238,7 @@
         limits.admit(Account(name="a", rate_per_s=1000.0), 0.0)
         self.assertEqual({}, limits.end_period())
 
-    def test_concurrency(self) -> None:
+    def test_concurrency_limit_counts_open_requests(self) -> None:
         limits = AccountLimits()
         account = Account(name="a", concurrency=2)
         for _ in range(2):
@@ -252,7 +252,7 @@
 class RetriesTest(TestCase):
     """Retries depend on the verdict and are bounded by budgets."""
 
-    def test_by_verdict(self) -> None:
+    def test_retry_depends_on_verdict_and_kind(self) -> None:
         lost = may_have_run(Reason.CONNECTION_LOST)
         self.assertTrue(retries.may_retry(lost, True))
         self.assertFalse(retries.may_retry(lost, False))
@@ -311,7 +311,7 @@
         self.assertTrue(order.index("small") <= 2, order[:6])
         self.assertEqual(5, order[:12].count("small"))
 
-    def test_weights(self) -> None:
+    def test_shares_follow_weights(self) -> None:
         jobs = [self.job(f"a{n}", "one") for n in range(40)]
         jobs += [self.job(f"b{n}", "three", weight=3.0) for n in range(40)]
         share = self.run_all(jobs)[:40].count("three")
@@ -323,14 +323,14 @@
         low = self.run_all(jobs)[:60].count("low")
         self.assertTrue(5 <= low <= 10, low)
 
-    def test_early_refusal(self) -> None:
+    def test_job_is_refused_if_its_wait_would_be_too_long(self) -> None:
         queue = FairQueue(max_running=1)
         queue.offer(self.job("a", "x", prefill_tokens=20_000), 0.0)
         refusal = queue.offer(self.job("b", "x", max_wait_s=1.0), 0.0)
         self.assertEqual(Reason.QUEUE_TOO_LONG, refusal.reason)
         self.assertTrue(refusal.retry_after_s >= 2.0)
 
-    def test_bounded_queue(self) -> None:
+    def test_full_queue_refuses(self) -> None:
         queue = FairQueue(max_queue=3)
         refusals = [queue.offer(self.job(f"a{n}", "x"), 0.0) for n in range(4)]
         self.assertEqual(Reason.QUEUE_FULL, refusals[3].reason)
@@ -350,7 +350,7 @@
         index.resync(CacheList(incarnation="i", next_sequence=3, blocks=(1, 4)))
         self.assertEqual(1, index.hit_blocks([1, 2, 3, 4], 0.0))
 
-    def test_crash_empties_the_index(self) -> None:
+    def test_restart_of_the_engine_empties_the_index(self) -> None:
         index = CacheIndex()
         stored = CacheEvent(sequence=0, stored=(1,))
         index.apply(CacheEvents(incarnation="i", events=(stored,)))
@@ -361,7 +361,7 @@
 class SettingsTest(TestCase):
     """Every error in a settings file is reported."""
 
-    def test_faults(self) -> None:
+    def test_errors_of_settings_files(self) -> None:
         def check(text: str) -> str:
             loaded = settings.parse("f.toml", text, RouterSettings)
             if loaded.is_ok():
@@ -417,7 +417,7 @@
         queue.start_ready(0.1)
         self.assertEqual({"b"}, set(queue.running))
 
-    def test_owner_is_the_first(self) -> None:
+    def test_first_attempt_to_compute_a_block_owns_it(self) -> None:
         index = CacheIndex()
         index.expect([1, 2], 9.0, "a")
         index.expect([1, 2, 3], 9.0, "b")
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -45,17 +45,18 @@
         for chunks in range(0, TOKENS, 3):
             session = self.prompt_until(chunks)
             for name in ("e1", "e2", "e3"):
-                made = session.rig.agents[name]
-                if made.agent.queue.running:
-                    made.node.kill()
+                rig_agent = session.rig.agents[name]
+                if rig_agent.agent.queue.running:
+                    rig_agent.node.kill()
             session.do_run("10")
             self.assertIn("whole answer, right", session.lines[-1])
 
 
 class ChunkFaultsTest(TestCase):
-    """Chunks are lost, repeated, reordered or of other attempts."""
+    """Lost, repeated, reordered or foreign chunks give no wrong answer."""
 
     def answers(self, faults: ChunkFaults) -> list[str]:
+        """Return how each of 20 prompts ended, given these faults."""
         session = Session()
         session.rig.network.faults = faults
         for number in range(20):
@@ -63,7 +64,7 @@
         session.do_run("40")
         return [line.split(", ")[1] for line in session.lines]
 
-    def test_each_fault(self) -> None:
+    def test_answers_are_right_despite_each_fault(self) -> None:
         for faults in (
             # Lost between agent and router, so that the agent has all chunks.
             ChunkFaults(lost=0.05, sender="agent"),
@@ -74,7 +75,7 @@
         ):
             self.assertEqual(["right"] * 20, self.answers(faults), faults)
 
-    def test_engine_loses_chunks(self) -> None:
+    def test_answer_is_right_or_fails_if_the_engine_loses_chunks(self) -> None:
         # The retry budget may be used up before the losses end; then the
         # caller gets a failure with a time to retry after.
         for faults in (ChunkFaults(lost=0.05), ChunkFaults(broken=0.05)):
@@ -84,7 +85,7 @@
                 set(), answers - {"right", "come back after 1.0 s"}
             )
 
-    def test_order(self) -> None:
+    def test_chunks_are_passed_on_in_order(self) -> None:
         order = ChunkOrder()
         self.assertEqual([b"a"], order.take(0, b"a"))
         self.assertEqual([], order.take(2, b"c"))
@@ -95,7 +96,7 @@
         self.assertEqual(1, order.duplicates)
 
 
-class CallerGoneTest(TestCase):
+class CallerDisconnectTest(TestCase):
     """A disconnected caller stops idempotent work only."""
 
     def test_engine_stops(self) -> None:
@@ -142,7 +143,7 @@
 
 
 class InvariantTest(TestCase):
-    """A violated invariant raises and is recorded."""
+    """A violated invariant raises an exception and is recorded."""
 
     def test_out_of_order_chunk(self) -> None:
         self.addCleanup(invariants.violations.clear)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to load weights: slots on the log, fencing numbers."""
+"""Loading weights: slots on the log, the store, transfers, fencing."""
 
 import random
 
@@ -22,6 +22,10 @@
 ) -> tuple[int, int]:
     """Load weights on three engines.
 
+    Args:
+      load_slots: The number of concurrent loads that the pool allows.
+      pause_agent: Agent to pause from 3 s to 20 s; none if empty.
+
     Returns:
       The largest number of concurrent loads, and how many engines have the
       new version.
@@ -48,7 +52,7 @@
 
 
 class SlotsTest(TestCase):
-    """Concurrent weight loads are limited, and all loads are done."""
+    """Concurrent weight loads are limited, and all engines get to load."""
 
     def test_one_at_a_time(self) -> None:
         self.assertEqual((1, 3), max_concurrent_loads(1))
@@ -92,7 +96,7 @@
 
 
 class TransferTest(TestCase):
-    """Exported cache can be imported by an engine of the same weights."""
+    """Exported blocks are imported only by an engine of the same weights."""
 
     def engine(self, name: str) -> EngineModel:
         return EngineModel(
@@ -108,7 +112,7 @@
         self.assertEqual({1: "salt", 2: "salt"}, dict(two.cache))
         self.assertEqual(2 * 64 * 5e-6, two.transfer_s)
 
-    def test_other_weights_are_refused(self) -> None:
+    def test_blocks_of_other_weights_are_refused(self) -> None:
         one, two = self.engine("e1"), self.engine("e2")
         one.store([1], "salt")
         two.version = "v2"
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Choice of targets when some agents do not answer probes."""
+"""Choice of targets by probes; an exception while placing a request."""
 
 from expression import Ok, Result
 from testtools import TestCase
@@ -38,7 +38,10 @@
 
 
 class Port:
-    """Answers probes from a table, or fails as the table says."""
+    """Answers probes from a table of answers and failures by target.
+
+    A probe of a target whose entry is "silent" is never answered.
+    """
 
     def __init__(self, answers: dict[str, object]) -> None:
         self.answers = answers
@@ -98,7 +101,7 @@
 class InternalErrorTest(TestCase):
     """An unexpected exception in the router ends the request."""
 
-    def test_caller_gets_an_end(self) -> None:
+    def test_caller_gets_a_failure(self) -> None:
         session = Session()
         router = session.rig.routers[0].router
 
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -35,7 +35,7 @@
 
 
 class PropertyTest(TestCase):
-    """Parsers and folds with generated input."""
+    """Parsers and folds do not raise on generated input."""
 
     @fixed
     @given(WORDS)
