--- a/sequoiawind/exchange.py
+++ b/sequoiawind/exchange.py
@@ -79,7 +79,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class AttemptSink(OpenAttempt):
-    """Receives one attempt of an exchange."""
+    """Receives the events of one attempt of an exchange."""
 
     exchange: "Exchange"
     attempt: Attempt
