--- a/sequoiawind/lab/load_main.py
+++ b/sequoiawind/lab/load_main.py
@@ -123,7 +123,7 @@
     """
     missed = 0
     for mutant in (*mutants.MUTANTS, *forward_mutants.MUTANTS):
-        seed, violation = mutants.hunt(mutant)
+        seed, violation = mutants.find_violation(mutant)
         if seed < 0:
             missed += 1
             print(f"NOT FOUND: {mutant.name}")
--- a/sequoiawind/lab/memory_network.py
+++ b/sequoiawind/lab/memory_network.py
@@ -126,7 +126,9 @@
 
     lost: float = 0.0
     doubled: float = 0.0
+    # Probability that the chunk is held back until after a later one.
     crossed: float = 0.0
+    # Probability that a chunk of another request is sent before it.
     foreign: float = 0.0
     # Probability that the connection breaks at a chunk.
     broken: float = 0.0
@@ -152,8 +154,9 @@
 class Connection:
     """The connection of one attempt from the near to the far process.
 
-    It is the far process's `Sink`, which sends to the near process's sink, and
-    the near process's `Call`.
+    The near process opens the attempt and the far process runs it.  The
+    connection is the near process's `Call`, and the far process's `Sink`: it
+    passes what the far process sends on to the near process's sink.
     """
 
     network: Network
@@ -162,6 +165,7 @@
     sink: Sink
     far_call: Call | None = None
     is_closed: bool = False
+    # Chunks that are held back to reorder them.
     held_back: list[Callable[[], None]] = attrs.field(factory=list)
 
     def open(self, port: TargetPort, address: str, attempt: Attempt) -> None:
@@ -209,7 +213,7 @@
         self.release_held()
 
     def release_held(self) -> None:
-        """Send the chunks that were held back to reorder them."""
+        """Send the chunks held back."""
         held, self.held_back = self.held_back, []
         for deliver in held:
             self.send_back(deliver)
@@ -297,12 +301,12 @@
             if not done.called:
                 done.callback(result)
 
-        def ask() -> None:
-            found: Result[ProbeAnswer, Failure] = Ok(port.probe(probe))
-            self.network.send(self.near, partial(answer, found))
+        def arrive() -> None:
+            probed: Result[ProbeAnswer, Failure] = Ok(port.probe(probe))
+            self.network.send(self.near, partial(answer, probed))
 
         if far.is_up:
-            self.network.send(far, ask)
+            self.network.send(far, arrive)
         else:
             refused = not_run(Reason.CONNECT_FAILED, messages.CONNECT_FAILED)
             self.network.send(self.near, partial(answer, Error(refused)))
@@ -326,7 +330,7 @@
         return self.answer(self.engine.cache_list)
 
     def load(self) -> Deferred[Result[LoadReport, Failure]]:
-        """Return the engine's own report."""
+        """Return the engine's load report."""
         return self.answer(self.engine.load)
 
     def order_version(
@@ -335,12 +339,12 @@
         """Order the engine to load other weights."""
         return self.answer(lambda: self.engine.order_version(version, fencing))
 
-    def answer(self, ask: Callable[[], T]) -> Deferred[Result[T, Failure]]:
-        """Return the result of a call to the engine; an error if down."""
+    def answer(self, call: Callable[[], T]) -> Deferred[Result[T, Failure]]:
+        """Return the result of a call; an error if the engine is down."""
         done: Deferred[Result[T, Failure]] = Deferred()
         if self.engine.is_down:
             down = not_run(Reason.CONNECT_FAILED, messages.CONNECT_FAILED)
             done.callback(Error(down))
         else:
-            done.callback(Ok(ask()))
+            done.callback(Ok(call()))
         return done
--- a/sequoiawind/lab/mutants.py
+++ b/sequoiawind/lab/mutants.py
@@ -31,6 +31,7 @@
 from sequoiawind.limits import AccountLimits
 from sequoiawind.verdict import not_run
 
+# Number of seeds after which a mutant counts as undetected.
 MAX_SEEDS: Final = 20
 
 
@@ -61,7 +62,7 @@
 async def never_read_back(
     self: Claimant, stream: ClaimStream, claim: Any, appended: Any
 ) -> bool:
-    """Assume that its own claim came first, without reading the log."""
+    """Treat this router's claim as the first one without reading the log."""
     stream.table.entries[claim.key] = claims.ClaimEntry(
         claim=claim, offset=-1, time_s=0.0
     )
@@ -237,7 +238,7 @@
 )
 
 
-def hunt(mutant: Mutant) -> tuple[int, str]:
+def find_violation(mutant: Mutant) -> tuple[int, str]:
     """Run seeds of a mutant's soak until one reports a violation.
 
     Returns:
--- a/sequoiawind/lab/rig.py
+++ b/sequoiawind/lab/rig.py
@@ -104,7 +104,7 @@
         return self.receive(self.log.read(stream, start, limit))
 
     def receive(self, answer: Deferred[T]) -> Deferred[T]:
-        """Return an answer of the log as this process receives it."""
+        """Return a Deferred that delivers an answer in this process."""
         done: Deferred[T] = Deferred()
         epoch = self.node.epoch
 
@@ -121,6 +121,7 @@
 
     seed: int
     parameters: EngineParameters = attrs.field(factory=EngineParameters)
+    # Makes each agent's queue of waiting requests.
     queue: Callable[[], FairQueue] = attrs.field(default=FairQueue)
     clock: VirtualClock = attrs.field(factory=VirtualClock)
     rng: random.Random = attrs.field(init=False)
@@ -129,6 +130,7 @@
     network: Network = attrs.field(init=False)
     agents: dict[str, RigAgent] = attrs.field(factory=dict)
     routers: list[RigRouter] = attrs.field(factory=list)
+    # Number of routers that the account limits of each router assume.
     router_count: int = 2
     # Makes each router's placer; the experiments replace it by baselines.
     make_placer: Callable[..., Placer] = attrs.field(default=ProbingPlacer)
@@ -145,7 +147,7 @@
         return EPOCH_S + self.clock.seconds()
 
     def configure(self, commands: list[Command]) -> None:
-        """Append commands to the configuration stream, past the routers."""
+        """Append commands to the configuration stream without a router."""
         records = [
             config_fold.make_record(f"boot-{number}", "boot", command)
             for number, command in enumerate(commands)
@@ -171,7 +173,7 @@
     def make_agent(
         self, node: Node, model: EngineModel | PlainModel
     ) -> RigAgent:
-        """Start the agent process of a target."""
+        """Start the agent process of a target and return it."""
         clock = NodeClock(clock=self.clock, node=node)
         is_engine = isinstance(model, EngineModel)
         target_node = Node(name=model.name)
@@ -229,7 +231,7 @@
         return router
 
     def start_router(self, node: Node) -> RigRouter:
-        """Start a router process."""
+        """Start a router process and return it."""
         clock = NodeClock(clock=self.clock, node=node)
         board = Blackboard()
         board.phase.name = "serving"
--- a/sequoiawind/lab/soak.py
+++ b/sequoiawind/lab/soak.py
@@ -30,6 +30,7 @@
 ACCOUNTS: Final = ("nordlys", "petra", "third")
 ENGINES: Final = ("e0", "e1", "e2")
 ROUTERS: Final = 3
+# When faults and new load stop, and how long the system has to settle then.
 FAULTY_S: Final = 60.0
 SETTLE_S: Final = 150.0
 PROMPTS_PER_S: Final = 5.0
@@ -58,13 +59,15 @@
 
     soak: "Soak"
     request: CallerRequest
+    # The router's process, and its epoch when the request was submitted.
     node: Node
     epoch: int
     chunks: list[bytes] = attrs.field(factory=list)
     end: Ended | None = None
+    # Virtual time of the end; negative before it.
     ended_s: float = -1.0
     active_request: ActiveRequest | None = None
-    tries_left: int = 0
+    resubmissions_left: int = 0
 
     def chunk(self, data: bytes) -> None:
         """Record a chunk of the answer."""
@@ -217,10 +220,10 @@
         token = self.rng.choice(ACCOUNTS)
         copies = self.rng.choice((1, 1, 1, 2, 3))
         for _ in range(copies):
-            self.book(token, key, tries=RESUBMISSIONS)
+            self.book(token, key, resubmissions=RESUBMISSIONS)
 
-    def book(self, token: str, key: str, tries: int) -> None:
-        """Submit a booking; if it fails, resubmit it up to `tries` times."""
+    def book(self, token: str, key: str, resubmissions: int) -> None:
+        """Submit a booking; if it fails, resubmit it a number of times."""
         self.submit(
             CallerRequest(
                 request_id=self.new_id(),
@@ -229,10 +232,10 @@
                 body="{}",
                 idempotency_key=key,
             ),
-            tries,
+            resubmissions,
         )
 
-    def submit(self, request: CallerRequest, tries: int = 0) -> None:
+    def submit(self, request: CallerRequest, resubmissions: int = 0) -> None:
         """Submit a request to a random router, as a load balancer would."""
         up = [router for router in self.rig.routers if router.node.is_up]
         if not up:
@@ -243,7 +246,7 @@
             request=request,
             node=chosen.node,
             epoch=chosen.node.epoch,
-            tries_left=tries,
+            resubmissions_left=resubmissions,
         )
         self.callers.append(caller)
         self.count("submitted")
@@ -262,7 +265,7 @@
             caller.active_request = result.ok
 
     def disconnect(self, caller: SoakCaller) -> None:
-        """Simulate the disconnect of a caller that has no answer yet."""
+        """Simulate the disconnect of a caller whose answer has not ended."""
         if caller.end is None and caller.active_request is not None:
             caller.node.run(caller.epoch, caller.active_request.cancel)
 
@@ -272,7 +275,7 @@
         if end is None:
             return
         verdict = end.failure.verdict.value if end.failure else "done"
-        self.count(f"told_{verdict}")
+        self.count(f"ended_{verdict}")
         request = caller.request
         if request.prompt and end.failure is None:
             self.check_text(caller)
@@ -292,7 +295,7 @@
     def resubmit(self, caller: SoakCaller) -> None:
         """Submit a booking again with the same key, as real callers do."""
         key = caller.request.idempotency_key
-        if caller.tries_left <= 0 or key is None:
+        if caller.resubmissions_left <= 0 or key is None:
             return
         pause_s = self.rng.uniform(0.5, 8.0)
         self.rig.clock.callLater(
@@ -300,7 +303,7 @@
             self.book,
             caller.request.token,
             key,
-            caller.tries_left - 1,
+            caller.resubmissions_left - 1,
         )
 
     # Operators.
@@ -386,7 +389,10 @@
             )
 
     def check_config(self) -> None:
-        """Check that all processes agree and no accepted command is lost."""
+        """Check that processes agree on the configuration.
+
+        Each accepted command must be part of it.
+        """
         boards = [router.board for router in self.rig.routers]
         boards += [agent.board for agent in self.rig.agents.values()]
         digests = {config_fold.digest(board.state) for board in boards}
--- a/sequoiawind/lab/soak_faults.py
+++ b/sequoiawind/lab/soak_faults.py
@@ -62,7 +62,7 @@
         self.kill_router_number(self.rng.randrange(len(self.rig.routers)))
 
     def kill_router_number(self, number: int) -> None:
-        """Kill the router with an index; a new process replaces it later."""
+        """Kill the router at an index; a new process replaces it later."""
         node = self.rig.routers[number].node
         if node.is_up:
             node.kill()
@@ -172,7 +172,7 @@
         engine.parameters = attrs.evolve(engine.parameters, event_loss=0.3)
 
     def wrong_vm_list(self) -> None:
-        """Mark VMs as leaving in the VM list although they stay."""
+        """Let the VM list show random VMs as leaving although they stay."""
         names = [f"vm-{name}" for name in self.rig.agents]
         wrong = self.rng.sample(names, self.rng.randint(1, len(names)))
         for router in self.rig.routers:
@@ -185,7 +185,10 @@
             router.board.members.vms = {}
 
     def heal(self) -> None:
-        """Undo the injected faults, except for the loss of cache events."""
+        """Undo the faults in effect, except for the loss of cache events.
+
+        Killed agents and crashed targets recover by their own timers.
+        """
         self.heal_log()
         self.heal_chunks()
         self.heal_vm_list()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,15 +6,19 @@
 
 
 class SoakTest(TestCase):
-    """No promise is broken under random faults."""
+    """No promise is broken under random faults.
 
-    def test_seeds(self) -> None:
+    The checks of counts guard against a soak whose requests or moves of runs
+    mostly fail, and which therefore tests little.
+    """
+
+    def test_soak_finds_no_violation(self) -> None:
         for seed in range(20):
             violations, counts = soak.run_seed(seed)
             self.assertEqual([], violations, f"seed {seed}")
-            self.assertTrue(counts["told_done"] > 50, counts)
+            self.assertTrue(counts["ended_done"] > 50, counts)
 
-    def test_forwarding_seeds(self) -> None:
+    def test_forwarding_soak_finds_no_violation(self) -> None:
         moved = 0
         for seed in range(5):
             violations, counts = forward_soak.run_seed(seed)
@@ -23,13 +27,13 @@
             moved += counts.get("runs moved", 0)
         self.assertTrue(moved > 10, moved)
 
-    def test_forwarding_mutant_is_found(self) -> None:
+    def test_forwarding_soak_detects_a_mutant(self) -> None:
         # `make mutants` runs all mutants.
         (salts,) = [
             mutant
             for mutant in forward_mutants.MUTANTS
             if mutant.name == "salts have no version"
         ]
-        seed, violation = mutants.hunt(salts)
+        seed, violation = mutants.find_violation(salts)
         self.assertTrue(seed >= 0)
         self.assertIn("cache-version", violation)
