--- a/sequoiawind/lab/engine_model.py
+++ b/sequoiawind/lab/engine_model.py
@@ -39,14 +39,18 @@
     decode_sequence_s: float = 0.4e-3
     prefill_per_step: int = 384
     max_batch: int = 32
+    # Time until a cache event is visible.
     event_lag_s: float = 0.1
     # Share of cache events that are lost.
     event_loss: float = 0.0
     events_kept: int = 2000
+    # Time to load weights.
     load_time_s: float = 5.0
+    # Largest age of the counts in a load report.
     load_lag_s: float = 0.5
     # Time to export or import one token's cache, in seconds.
     transfer_token_s: float = 5e-6
+    # Whether orders with an outdated fencing number are refused.
     checks_fencing: bool = True
 
 
@@ -73,7 +77,9 @@
     # Prompt tokens left to compute; -1 before the cache lookup.
     prefill_left: int
     prompt_tokens: int
+    # Hash of the prompt, which determines the answer.
     seed: int
+    # Index of the next token of the answer.
     next_index: int
     block_salt: str
 
@@ -113,6 +119,7 @@
             lambda self: WeightStore(clock=self.clock), takes_self=True
         )
     )
+    # Incremented by every restart; part of the incarnation.
     starts: int = 0
     is_down: bool = False
     loading: bool = False
@@ -120,13 +127,16 @@
     target_version: str = ""
     # Largest fencing number accepted.
     fencing: int = -1
+    # Salts by cached block, least recently used first.
     cache: OrderedDict[int, str] = attrs.field(factory=OrderedDict)
     waiting: list[Generation] = attrs.field(factory=list)
     batch: list[Generation] = attrs.field(factory=list)
     is_stepping: bool = False
+    # Time of each cache event and the event, oldest first.
     events: list[tuple[float, CacheEvent]] = attrs.field(factory=list)
     next_sequence: int = 0
-    # Waiting and running sequences as last reported, and when in seconds.
+    # Waiting and running sequences as counted for load reports, and the time
+    # of the last count in seconds.
     reported_counts: tuple[int, int] = (0, 0)
     reported_s: float = -1.0
     # Totals over all incarnations, for measurements.
--- a/sequoiawind/lab/forward_callers.py
+++ b/sequoiawind/lab/forward_callers.py
@@ -69,14 +69,18 @@
 
     request: ForwardRequest
     kind: ForwardKind
+    # The router's process, and its epoch when the request was sent.
     node: Node
     epoch: int
     clock: VirtualClock
     body: bytes = b""
     status: int = 0
     failure: Failure | None = None
+    # Whether the answer is complete.
     is_whole: bool = False
+    # Whether the router broke the answer off or the caller disconnected.
     is_broken: bool = False
+    # Virtual time of the end; negative before it.
     ended_s: float = -1.0
 
     def send_head(self, status: int, headers: Headers) -> None:
--- a/sequoiawind/lab/forward_faults.py
+++ b/sequoiawind/lab/forward_faults.py
@@ -51,7 +51,7 @@
         return self.soak.rng.choice(up)
 
     def crash_target(self) -> None:
-        """Crash a target; it restarts at its address, maybe renamed."""
+        """Crash a target; another starts there, with the same or a new name."""
         target = self.random_target()
         target.crash()
         name = target.entry.name
@@ -100,6 +100,7 @@
         if not router.node.is_up:
             return
         for forwarding in list(router.forwarder.open):
+            # The connections of a killed router break, which stops its runs.
             if forwarding.current is not None and forwarding.current.call:
                 forwarding.current.call.cancel()
         router.node.kill()
--- a/sequoiawind/lab/forward_nodes.py
+++ b/sequoiawind/lab/forward_nodes.py
@@ -214,7 +214,8 @@
         node = old.node if old else Node(name=f"agent-{address}")
         clock = NodeClock(clock=self.world.clock, node=node)
         fleet = Fleet()
-        # Its calls go to the target at an address, so that any target will do.
+        # A `SimulatedTarget` passes each call to the target at the address of
+        # the call, so any of them can be the port.
         any_target = next(iter(self.world.targets.values()))
         agent = ForwardAgent(
             address=address,
--- a/sequoiawind/lab/forward_soak.py
+++ b/sequoiawind/lab/forward_soak.py
@@ -43,10 +43,12 @@
 
 ROUTERS: Final = 3
 ENGINES: Final = 4
+# When faults stop, and how long the run lasts after that.
 FAULTY_S: Final = 30.0
 SETTLE_S: Final = 15.0
 REQUESTS_PER_S: Final = 14.0
 FAULTS_PER_S: Final = 0.6
+# How long after its revocation a key may still work.
 REVOKE_S: Final = 5.0
 # How long after its deadline an answer may come, in seconds: a few iterations
 # of the event loop.
@@ -228,9 +230,9 @@
         def arrive() -> None:
             forwarding = router.forwarder.submit(request, caller)
             if forwarding is not None and self.rng.random() < 0.05:
-                later_s = self.rng.uniform(0.0, 0.5)
+                delay_s = self.rng.uniform(0.0, 0.5)
                 router.clock.callLater(
-                    later_s, self.disconnect, forwarding, caller
+                    delay_s, self.disconnect, forwarding, caller
                 )
 
         router.node.run(router.node.epoch, arrive)
@@ -238,7 +240,7 @@
     def disconnect(
         self, forwarding: Forwarding, caller: ForwardSoakCaller
     ) -> None:
-        """Simulate the disconnect of a caller that has no answer yet."""
+        """Simulate the disconnect of a caller whose answer has not ended."""
         if not forwarding.is_finished:
             forwarding.caller_gone()
             caller.is_broken = True
@@ -283,7 +285,7 @@
             router.revision = revision
 
     def check_end(self) -> None:
-        """Check the callers' answers, and that the system has recovered."""
+        """Check the answers, the newest weights, and that service recovered."""
         for caller in self.callers:
             caller.check(self.world.runs[caller.request.request_id])
             self.check_ended(caller)
--- a/sequoiawind/lab/forward_world.py
+++ b/sequoiawind/lab/forward_world.py
@@ -3,7 +3,8 @@
 It models the store, the targets and their caches, and counts the runs of each
 request.  It checks the promises that show at the targets: revoked keys stop
 working, cached parts are used only for the weights and accounts they are for,
-a moved run resumes from its own memory, and one agent alone orders weights.
+a moved run resumes from its own memory, and a target gets its orders to load
+weights from one agent only.
 """
 
 import random
@@ -56,7 +57,10 @@
 
 @attrs.define(kw_only=True)
 class FaultRates:
-    """Probabilities of faults, raised for a while by fault injection."""
+    """Probabilities of faults, raised for a while by fault injection.
+
+    For each event of a stream, `lost` and `hung` are divided by ten.
+    """
 
     lost: float = 0.0
     hung: float = 0.0
@@ -451,7 +455,7 @@
     node: Node
 
     def send(self, order: SendOrder, sink: AttemptSink) -> SimulatedRun:
-        """Send a request to the target that serves at the address now."""
+        """Send to the target up at the address, or else to the named one."""
         world = self.world
         target = world.target_at(order.target.address)
         receiver = target or world.targets[order.target.name]
--- a/sequoiawind/lab/virtual_clock.py
+++ b/sequoiawind/lab/virtual_clock.py
@@ -1,8 +1,8 @@
 """A virtual clock for long runs.
 
-It replaces ``twisted.internet.task.Clock`` and keeps the scheduled calls in a
-heap: that clock sorts all its calls at each change, which took nine tenths of
-a run's time.
+It replaces ``twisted.internet.task.Clock``, which sorts all its calls at each
+change: that took nine tenths of a run's time.  This clock keeps the calls in a
+heap.
 """
 
 import heapq
