--- a/sequoiawind/lab/experiment.py
+++ b/sequoiawind/lab/experiment.py
@@ -39,7 +39,7 @@
     """
 
     name: str
-    # When the hottest dossiers change.
+    # When the most requested dossiers change.
     shift_s: float = -1.0
     # When an engine crashes.
     crash_s: float = -1.0
@@ -143,8 +143,8 @@
         """Return the factory of the policy's placer."""
         if self.policy == PRODUCTION_POLICY:
             return ProbingPlacer
-        kind = policies.BASELINES[self.policy]
-        return partial(kind, engine_of=self.engine)
+        baseline = policies.BASELINES[self.policy]
+        return partial(baseline, engine_of=self.engine)
 
     def engine(self, name: str) -> EngineModel:
         """Return an engine by its name."""
@@ -190,6 +190,7 @@
             ),
         )
         balancer = random.Random(f"balancer-{self.seed}")
+        # The workload starts at 2 s on the clock; `delayed` has clock times.
         self.rig.advance(2.0)
         for prompt in traffic.prompts():
             delayed = attrs.evolve(prompt, time_s=prompt.time_s + 2.0)
--- a/sequoiawind/lab/experiment_report.py
+++ b/sequoiawind/lab/experiment_report.py
@@ -23,6 +23,7 @@
 )
 
 POLICIES: Final = (*policies.BASELINES, PRODUCTION_POLICY)
+# Deployment, scenario and policy.
 Group = tuple[str, str, str]
 
 
--- a/sequoiawind/lab/http_bench.py
+++ b/sequoiawind/lab/http_bench.py
@@ -89,9 +89,10 @@
         run = self.load_run(self.router)
         await run.run(stream_prompts())
         lasted_s = time.monotonic() - began_s
+        # Each answer has a chunk with the usage and an end marker as well.
         chunks = run.results.answered * (STREAM_TOKENS + 2)
         lines = [
-            f"{STREAMS} streams: {run.results.answered} whole, "
+            f"{STREAMS} streams: {run.results.answered} answered, "
             f"{run.results.wrong} wrong, refused "
             f"{dict(run.results.refusals)}, {chunks / lasted_s:.0f} chunks/s "
             "with this one load process"
--- a/sequoiawind/lab/http_load.py
+++ b/sequoiawind/lab/http_load.py
@@ -117,8 +117,10 @@
     results: Results
     prompt: Prompt
     began_s: float = attrs.field(factory=time.monotonic)
+    # Time of the last chunk; negative before the first.
     last_s: float = -1.0
     chunks: list[bytes] = attrs.field(factory=list)
+    # Code of the error event; empty if there was none.
     error: str = ""
     done: Deferred[None] = attrs.field(factory=Deferred)
 
--- a/sequoiawind/lab/load_main.py
+++ b/sequoiawind/lab/load_main.py
@@ -149,9 +149,9 @@
         routers=args.router,
         model=args.model,
     )
-    finished = run_in_reactor(load.run(prompts))
-    print("\n".join(finished.lines()))
-    return 1 if finished.wrong else 0
+    results = run_in_reactor(load.run(prompts))
+    print("\n".join(results.lines()))
+    return 1 if results.wrong else 0
 
 
 def run_in_reactor(coroutine: Any) -> Any:
--- a/sequoiawind/lab/log_model.py
+++ b/sequoiawind/lab/log_model.py
@@ -25,6 +25,7 @@
 class LogStream:
     """The records of one stream within the retention."""
 
+    # Offset of the first of these records.
     first: int = 0
     records: list[LogRecord] = attrs.field(factory=list)
 
--- a/sequoiawind/lab/plain_model.py
+++ b/sequoiawind/lab/plain_model.py
@@ -24,6 +24,7 @@
     name: str
     clock: Clock
     work_time_s: float = 0.02
+    # Incremented by every crash, so that calls before it are dropped.
     starts: int = 0
     is_down: bool = False
     # Executions by account and idempotency key, and by request id.
--- a/sequoiawind/lab/policies.py
+++ b/sequoiawind/lab/policies.py
@@ -109,8 +109,8 @@
     """Reads every engine's cache and chooses the target of least cost.
 
     The cost is that of the production placement: the wait, plus the time to
-    compute the tokens that the engine has not cached, weighted by the route's
-    patience.
+    compute the tokens that the engine has not cached, weighted by the patience
+    of the route's policy.
     """
 
     def order(self, plan: Plan, candidates: list[Candidate]) -> list[Candidate]:
--- a/sequoiawind/lab/slopes.py
+++ b/sequoiawind/lab/slopes.py
@@ -45,7 +45,9 @@
 PREFIX_SIZES: Final = (2_500, 5_000, 10_000, 20_000)
 CLAIM_SIZES: Final = (2_000, 4_000, 8_000, 16_000)
 DAEMON_SIZES: Final = (10, 50, 100, 350)
+# Number of changes; the slowest to reach all daemons counts.
 CHANGES: Final = 10
+# Number of runs of a timed action; the fastest counts.
 REPEATS: Final = 5
 
 
@@ -338,7 +340,7 @@
     followers: list[ConfigFollower] = attrs.field(factory=list)
 
     def __attrs_post_init__(self) -> None:
-        """Start the daemons at random moments."""
+        """Start the daemons at random times and let them catch up."""
         source = random.Random(self.count)
         self.log = LogModel(clock=self.clock, random=source)
         for _ in range(self.count):
@@ -358,7 +360,7 @@
         Deferred.fromCoroutine(follower.run())
 
     def propagation_s(self, number: int) -> float:
-        """Return how long a change takes to reach the last daemon."""
+        """Return how many seconds a change takes to reach the last daemon."""
         record = config_fold.make_record(
             f"c{number}", "ops", Create(table="kinds", name=f"k{number}")
         )
--- a/sequoiawind/lab/standin_http.py
+++ b/sequoiawind/lab/standin_http.py
@@ -210,7 +210,7 @@
         self.request.finish()
 
     def connection_ended(self) -> None:
-        """Write no reply any more: the connection has ended."""
+        """Note that the connection has ended, so that no reply is written."""
         self.is_over = True
 
 
@@ -396,7 +396,7 @@
         return Deferred.fromCoroutine(self.load_with_retries(load_time_s))
 
     async def load_with_retries(self, load_time_s: float) -> None:
-        """Request a load, one second after each failure, until it succeeds."""
+        """Request a load until it succeeds, one second after each failure."""
         url = f"http://{self.address}/loads"
         while (
             await self.json.call("POST", url, dict[str, Any], load_time_s)
--- a/sequoiawind/lab/weight_store.py
+++ b/sequoiawind/lab/weight_store.py
@@ -1,7 +1,7 @@
 """A simulated weight store with limited throughput: a stand-in for tests.
 
-A load that starts while the free number of others are running, or more, takes
-proportionally longer.
+Up to `free_loads` concurrent loads run at full speed.  A load that starts
+while more are in progress takes longer, in proportion to their number.
 """
 
 from typing import Protocol
@@ -25,16 +25,16 @@
     """The simulated store, shared by all engines of a deployment."""
 
     clock: Clock
-    # Concurrent loads that do not slow each other.
+    # Number of concurrent loads that do not slow each other.
     free_loads: int = 2
-    # Loads in progress.
+    # Number of loads in progress.
     loads: int = 0
 
     def load(self, load_time_s: float) -> Deferred[None]:
         """Load weights; the Deferred fires when they are loaded.
 
         Args:
-          load_time_s: How long the load takes when the store is idle.
+          load_time_s: How long the load takes at full speed, in seconds.
         """
         self.loads += 1
         slowed_s = load_time_s * max(1.0, self.loads / self.free_loads)
--- a/sequoiawind/lab/workload.py
+++ b/sequoiawind/lab/workload.py
@@ -2,8 +2,8 @@
 
 Prompts consist of nested levels: an account's instructions, a station's or
 vessel's dossier, a case, and a unique question.  Account, dossier and case
-are drawn from Zipf distributions; the hottest dossiers can change during the
-run.
+are drawn from Zipf distributions; the most requested dossiers can change
+during the run.
 """
 
 import itertools
@@ -23,6 +23,7 @@
     name: str
     engines: int
     rate_per_s: float
+    # Numbers of accounts, dossiers of an account, and cases of a dossier.
     accounts: int = 8
     dossiers: int = 12
     cases: int = 6
@@ -88,7 +89,7 @@
     deployment: Deployment
     seed: int
     duration_s: float
-    # When the hottest dossiers change; never if negative.
+    # When the most requested dossiers change; never if negative.
     shift_s: float = -1.0
     burst: Burst | None = None
 
@@ -141,13 +142,13 @@
 
 
 def zipf(source: random.Random, count: int, skew: float) -> int:
-    """Draw from 0 to count - 1 with weights that fall as 1 / rank ** skew."""
+    """Draw n from 0 to count - 1 with weights of 1 / (n + 1) ** skew."""
     weights = [1.0 / (rank + 1) ** skew for rank in range(count)]
     return source.choices(range(count), weights)[0]
 
 
 def level(title: str, tokens: int) -> str:
-    """Return the text of one level of a prompt, of a number of tokens."""
+    """Return the text of one level of a prompt, `tokens` tokens long."""
     size = tokens * defaults.BYTES_PER_TOKEN
     unit = f"{title}; "
     return (unit * (size // len(unit) + 1))[:size]
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -25,7 +25,7 @@
         """Do nothing."""
 
     def getHandle(self) -> FakeSocket:
-        """Return a socket."""
+        """Return a socket on which options can be set."""
         return FakeSocket()
 
     def abortConnection(self) -> None:
