--- a/sequoiawind/appender.py
+++ b/sequoiawind/appender.py
@@ -39,7 +39,7 @@
     def append(self, data: str) -> Deferred[AppendResult]:
         """Append a record; the result holds its offset."""
         done: Deferred[AppendResult] = Deferred()
-        if len(self.queue) >= defaults.MAX_OUTBOX:
+        if len(self.queue) >= defaults.MAX_PENDING_RECORDS:
             full = not_run(Reason.LOG_UNAVAILABLE, messages.LOG_UNAVAILABLE)
             done.callback(Error(full))
             return done
--- a/sequoiawind/blackboard.py
+++ b/sequoiawind/blackboard.py
@@ -31,8 +31,8 @@
     state: str = "running"
     verdict: str = ""
     reason: str = ""
-    # Targets tried, in order.
-    path: list[str] = attrs.field(factory=list)
+    # Names, in the order of the attempts.
+    targets_tried: list[str] = attrs.field(factory=list)
     # Id of the last attempt.
     attempt_id: str = ""
     # Blocks of the prefix that the prompt was placed by, and the number of
--- a/sequoiawind/claimant.py
+++ b/sequoiawind/claimant.py
@@ -193,14 +193,14 @@
           True if the stream was read, and the append succeeded or the key has
           a holder.
         """
-        for _ in range(defaults.CLAIM_READ_ATTEMPTS):
+        for _ in range(defaults.READ_BACK_ATTEMPTS):
             result = await stream.catch_up()
             if result.is_ok():
                 if appended.is_ok():
                     return True
                 entry = stream.table.entries.get(claim.key)
                 return entry is not None
-            await timing.sleep(self.clock, defaults.CLAIM_READ_PAUSE_S)
+            await timing.sleep(self.clock, defaults.READ_BACK_PAUSE_S)
         return False
 
     def abandon(self, claim: Claim) -> None:
--- a/sequoiawind/config_follower.py
+++ b/sequoiawind/config_follower.py
@@ -179,12 +179,12 @@
                     Reason.LOG_UNAVAILABLE, messages.COMMAND_NOT_ACCEPTED, 1.0
                 )
             )
-        for _ in range(defaults.CLAIM_READ_ATTEMPTS):
+        for _ in range(defaults.READ_BACK_ATTEMPTS):
             if (await self.catch_up()).is_ok():
                 decision = self.board.folded.decision(command_id)
                 if decision is not None:
                     return Ok(decision)
-            await timing.sleep(self.clock, defaults.CLAIM_READ_PAUSE_S)
+            await timing.sleep(self.clock, defaults.READ_BACK_PAUSE_S)
         return Error(
             may_have_run(
                 Reason.LOG_UNAVAILABLE, messages.COMMAND_OUTCOME_UNKNOWN, 1.0
--- a/sequoiawind/engine_watcher.py
+++ b/sequoiawind/engine_watcher.py
@@ -60,7 +60,7 @@
             if listed.is_ok():
                 index.resync(listed.ok)
             return
-        events = await self.port.events_after(index.next_sequence)
+        events = await self.port.events_from(index.next_sequence)
         if events.is_ok():
             index.apply(events.ok)
 
--- a/sequoiawind/exchange.py
+++ b/sequoiawind/exchange.py
@@ -165,8 +165,8 @@
     attempts: int = 0
     # Number of retries after failures, without those after refusals.
     retried: int = 0
-    # The targets tried, in order.
-    path: list[str] = attrs.field(factory=list)
+    # Names, in the order of the attempts.
+    targets_tried: list[str] = attrs.field(factory=list)
     foreign_chunks: int = 0
     # Waits that refusing targets reported, by index in `choices`.
     refused_waits_s: dict[int, float] = attrs.field(factory=dict)
@@ -245,7 +245,7 @@
                 1 + int(self.any_may_have_run), self.template.request_id
             )
         self.attempts += 1
-        self.path.append(candidate.name)
+        self.targets_tried.append(candidate.name)
         sink = AttemptSink(
             clock=self.clock,
             exchange=self,
--- a/sequoiawind/forward_agent_program.py
+++ b/sequoiawind/forward_agent_program.py
@@ -79,7 +79,7 @@
 
     async def status_body(self, request: HttpRequest) -> bytes:
         """Return the target's status, after a wait for one that is newer."""
-        query = request.target.partition(b"?")[2].decode("latin-1")
+        query = request.request_target.partition(b"?")[2].decode("latin-1")
         arguments = dict(parse_qsl(query))
         after = arguments.get("after", "-1")
         number = int(after) if after.lstrip("-").isdigit() else -1
--- a/sequoiawind/forward_plan.py
+++ b/sequoiawind/forward_plan.py
@@ -40,7 +40,7 @@
     path: str
     method: bytes
     # Path and query as sent.
-    target: bytes
+    request_target: bytes
     # Headers to pass on.
     headers: Headers
     body: bytes
--- a/sequoiawind/forward_program.py
+++ b/sequoiawind/forward_program.py
@@ -96,7 +96,7 @@
         """Apply changed bounds; other changes need a restart."""
         changed = attrs.evolve(self.options, bounds=options.bounds)
         self.log.info(
-            "settings read again",
+            "settings reloaded",
             bounds_changed=changed != self.options,
             restart_needed=options != changed,
         )
--- a/sequoiawind/forward_router_program.py
+++ b/sequoiawind/forward_router_program.py
@@ -172,13 +172,13 @@
         decoded = callers.decode_request(request)
         forwarding = self.forwarder.submit(decoded, caller)
         if forwarding is not None and not forwarding.is_finished:
-            connection.on_disconnect = forwarding.caller_gone
+            connection.on_disconnect = forwarding.caller_disconnected
 
     def answer_ready(
         self, request: HttpRequest, connection: CallerConnection
     ) -> None:
         """Answer a readiness check of the balancer: status 200 or 503."""
-        is_readiness_check = request.target == names.READY_TARGET
+        is_readiness_check = request.request_target == names.READY_TARGET
         status = 200 if is_readiness_check and self.is_ready else 503
         connection.reply(status, [], b"")
 
@@ -380,7 +380,7 @@
             pool=plan.pool.name,
             revision=plan.revision,
             config_age_s=round(min(self.freshness.age_s, 1e6), 3),
-            targets=note.path,
+            targets=note.targets_tried,
             prompt_tokens=note.prompt_tokens,
             cached_tokens=note.cached_tokens,
             likely_tokens=prompt.likely_tokens if prompt else 0,
--- a/sequoiawind/forwarding.py
+++ b/sequoiawind/forwarding.py
@@ -256,7 +256,7 @@
         """Start an attempt, or continue a run that was moved."""
         target = chosen.view.target
         self.sent_to.append(target.name)
-        self.note.path.append(target.name)
+        self.note.targets_tried.append(target.name)
         attempt = ForwardAttempt(
             clock=self.clock, forwarding=self, chosen=chosen
         )
@@ -456,7 +456,7 @@
             self.caller.refuse(failure)
         self.finish(failure)
 
-    def caller_gone(self) -> None:
+    def caller_disconnected(self) -> None:
         """End the request after its caller has disconnected.
 
         A call that may not be repeated and does not stream is left running at
--- a/sequoiawind/http1_client.py
+++ b/sequoiawind/http1_client.py
@@ -42,7 +42,7 @@
     """A request to send."""
 
     method: bytes
-    target: bytes
+    request_target: bytes
     headers: Headers
     body: bytes = b""
     # A header that the target echoes in its answer.  An answer with another
@@ -106,7 +106,7 @@
             self.http.send(
                 h11.Request(
                     method=request.method,
-                    target=request.target,
+                    target=request.request_target,
                     headers=headers,
                 )
             )
--- a/sequoiawind/http1_server.py
+++ b/sequoiawind/http1_server.py
@@ -30,7 +30,7 @@
 
     method: bytes
     # Path and query, undecoded.
-    target: bytes
+    request_target: bytes
     # Names in lower case.
     headers: Headers
     body: bytes
@@ -169,7 +169,7 @@
             return
         request = HttpRequest(
             method=head.method,
-            target=head.target,
+            request_target=head.target,
             headers=list(head.headers),
             body=bytes(self.body),
             arrived_s=self.arrived_s,
--- a/sequoiawind/http_ports.py
+++ b/sequoiawind/http_ports.py
@@ -303,7 +303,7 @@
     json: JsonClient
     address: Address
 
-    def events_after(
+    def events_from(
         self, sequence: int
     ) -> Deferred[Result[CacheEvents, Failure]]:
         """Return the cache events from a sequence number on."""
--- a/sequoiawind/lab/engine_model.py
+++ b/sequoiawind/lab/engine_model.py
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class KeptBlock:
+class ExportedBlock:
     """A cached block as exported by an engine."""
 
     block: int
@@ -325,10 +325,10 @@
         )
         sink.ended(Ended(usage=usage, load=self.load()))
 
-    def export_blocks(self, chain: Sequence[int]) -> list[KeptBlock]:
+    def export_blocks(self, chain: Sequence[int]) -> list[ExportedBlock]:
         """Return the cached blocks of a chain, for storage elsewhere."""
         exported = [
-            KeptBlock(
+            ExportedBlock(
                 block=block,
                 salt=self.cache[block],
                 engine=self.name,
@@ -341,7 +341,7 @@
         self.add_transfer(len(exported))
         return exported
 
-    def import_blocks(self, exported: Sequence[KeptBlock]) -> int:
+    def import_blocks(self, exported: Sequence[ExportedBlock]) -> int:
         """Cache exported blocks, except those of another weights version.
 
         Returns:
@@ -386,7 +386,7 @@
         self.events.append((self.clock.seconds(), event))
         del self.events[: -self.parameters.events_kept]
 
-    def events_after(self, sequence: int) -> CacheEvents:
+    def events_from(self, sequence: int) -> CacheEvents:
         """Return the events from a sequence number on.
 
         Events become visible `event_lag_s` after they were published.
--- a/sequoiawind/lab/experiment.py
+++ b/sequoiawind/lab/experiment.py
@@ -191,14 +191,14 @@
         )
         balancer = random.Random(f"balancer-{self.seed}")
         # The workload starts at 2 s on the clock; `delayed` has clock times.
-        self.rig.advance(2.0)
+        self.rig.advance_to(2.0)
         for prompt in traffic.prompts():
             delayed = attrs.evolve(prompt, time_s=prompt.time_s + 2.0)
             self.rig.clock.callLater(
                 prompt.time_s, self.send, delayed, balancer
             )
         self.schedule_faults()
-        self.rig.advance(2.0 + DURATION_S + DRAIN_S)
+        self.rig.advance_to(2.0 + DURATION_S + DRAIN_S)
         return self.measure()
 
     def schedule_faults(self) -> None:
--- a/sequoiawind/lab/forward_faults.py
+++ b/sequoiawind/lab/forward_faults.py
@@ -147,8 +147,8 @@
 
     # The store and the operator.
 
-    def turn_away(self) -> None:
-        """Make the store refuse some or all processes for a while."""
+    def refuse_reads(self) -> None:
+        """Make the store refuse reads of some or all processes for a while."""
         soak, world = self.soak, self.soak.world
         names = [item.node.name for item in soak.processes.routers.values()]
         names += [item.node.name for item in soak.processes.agents.values()]
@@ -161,7 +161,7 @@
 
         soak.clock.callLater(self.random_delay_s(1.0, 9.0), end)
 
-    def forget_history(self) -> None:
+    def lose_records(self) -> None:
         """Make the store report all but the newest records as deleted."""
         world = self.soak.world
         world.has_lost_records = True
@@ -181,7 +181,7 @@
         soak.write_config()
         soak.world.revoked_s[key] = soak.clock.seconds()
 
-    def revoke_while_away(self) -> None:
+    def revoke_while_refused(self) -> None:
         """Revoke a key while a router cannot read the store."""
         name = self.soak.rng.choice(sorted(self.soak.processes.routers))
         world = self.soak.world
@@ -199,7 +199,7 @@
 
     # Fault rates.
 
-    def bad_luck(self) -> None:
+    def raise_fault_rates(self) -> None:
         """Raise the rates of lost, hung and failed answers and late orders."""
         world = self.soak.world
         world.fault_rates = FaultRates(
@@ -223,12 +223,12 @@
     "kill_router",
     "kill_agent",
     "pause_process",
-    "turn_away",
-    "forget_history",
+    "refuse_reads",
+    "lose_records",
     "revoke_key",
-    "revoke_while_away",
+    "revoke_while_refused",
     "change_config",
     "name_weights",
     "name_weights",
-    "bad_luck",
+    "raise_fault_rates",
 )
--- a/sequoiawind/lab/forward_soak.py
+++ b/sequoiawind/lab/forward_soak.py
@@ -242,7 +242,7 @@
     ) -> None:
         """Simulate the disconnect of a caller whose answer has not ended."""
         if not forwarding.is_finished:
-            forwarding.caller_gone()
+            forwarding.caller_disconnected()
             caller.is_broken = True
             caller.ended()
 
@@ -266,7 +266,7 @@
             host="h",
             path=f"/{name}/x",
             method=b"POST",
-            target=f"/{name}/x".encode(),
+            request_target=f"/{name}/x".encode(),
             headers=[],
             body=b"",
             key=self.rng.choice(sorted(KEYS)),
--- a/sequoiawind/lab/memory_network.py
+++ b/sequoiawind/lab/memory_network.py
@@ -125,9 +125,9 @@
     """Probability of each fault, drawn for every chunk."""
 
     lost: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     # Probability that the chunk is held back until after a later one.
-    crossed: float = 0.0
+    reordered: float = 0.0
     # Probability that a chunk of another request is sent before it.
     foreign: float = 0.0
     # Probability that the connection breaks at a chunk.
@@ -204,11 +204,11 @@
             return
         if faults.lost and draw() < faults.lost:
             return
-        if faults.crossed and draw() < faults.crossed:
+        if faults.reordered and draw() < faults.reordered:
             self.held_back.append(deliver)
             return
         self.send_back(deliver)
-        if faults.doubled and draw() < faults.doubled:
+        if faults.duplicated and draw() < faults.duplicated:
             self.send_back(deliver)
         self.release_held()
 
@@ -319,11 +319,11 @@
 
     engine: EngineModel
 
-    def events_after(
+    def events_from(
         self, sequence: int
     ) -> Deferred[Result[CacheEvents, Failure]]:
         """Return the cache events from a sequence number on."""
-        return self.answer(lambda: self.engine.events_after(sequence))
+        return self.answer(lambda: self.engine.events_from(sequence))
 
     def cache_list(self) -> Deferred[Result[CacheList, Failure]]:
         """Return all cached blocks."""
--- a/sequoiawind/lab/rig.py
+++ b/sequoiawind/lab/rig.py
@@ -122,7 +122,7 @@
     seed: int
     parameters: EngineParameters = attrs.field(factory=EngineParameters)
     # Makes each agent's queue of waiting requests.
-    queue: Callable[[], FairQueue] = attrs.field(default=FairQueue)
+    make_queue: Callable[[], FairQueue] = attrs.field(default=FairQueue)
     clock: VirtualClock = attrs.field(factory=VirtualClock)
     rng: random.Random = attrs.field(init=False)
     log: LogModel = attrs.field(init=False)
@@ -191,7 +191,7 @@
             clock=clock,
             service="engine" if is_engine else "plain",
             block_bytes=self.parameters.block_bytes,
-            queue=self.queue(),
+            queue=self.make_queue(),
         )
         started = RigAgent(node=node, agent=agent, target=model, board=board)
         if isinstance(model, EngineModel):
@@ -285,7 +285,7 @@
         found = self.agents[address]
         return found.node, found.agent
 
-    def advance(self, until_s: float) -> None:
+    def advance_to(self, until_s: float) -> None:
         """Advance the virtual clock, running each event at its time."""
         self.clock.advance_to(until_s)
 
--- a/sequoiawind/lab/soak.py
+++ b/sequoiawind/lab/soak.py
@@ -158,7 +158,7 @@
 
     def run_clock(self) -> None:
         """Run the phase with faults, undo them, and let the system settle."""
-        self.rig.advance(3.0)
+        self.rig.advance_to(3.0)
         for rate, action in (
             (PROMPTS_PER_S, self.send_prompt),
             (BOOKINGS_PER_S, self.send_booking),
@@ -166,9 +166,9 @@
             (COMMANDS_PER_S, self.race_commands),
         ):
             self.repeat(rate, action)
-        self.rig.advance(FAULTY_S)
+        self.rig.advance_to(FAULTY_S)
         self.faults.heal()
-        self.rig.advance(FAULTY_S + SETTLE_S)
+        self.rig.advance_to(FAULTY_S + SETTLE_S)
 
     def repeat(self, rate: float, action: Callable[[], None]) -> None:
         """Call an action at random times until the phase with faults ends.
--- a/sequoiawind/lab/soak_faults.py
+++ b/sequoiawind/lab/soak_faults.py
@@ -149,7 +149,11 @@
     def chunk_faults(self) -> None:
         """Lose, duplicate, reorder and misdeliver chunks; break connections."""
         self.rig.network.faults = ChunkFaults(
-            lost=0.02, doubled=0.05, crossed=0.05, foreign=0.05, broken=0.02
+            lost=0.02,
+            duplicated=0.05,
+            reordered=0.05,
+            foreign=0.05,
+            broken=0.02,
         )
         self.undo_later(10.0, self.heal_chunks)
 
--- a/sequoiawind/lab/standin_http.py
+++ b/sequoiawind/lab/standin_http.py
@@ -25,7 +25,7 @@
 )
 from sequoiawind.http_client import JsonClient
 from sequoiawind.http_ports import ACCOUNT_HEADER, ATTEMPT_HEADER, Appended
-from sequoiawind.lab.engine_model import EngineModel, KeptBlock
+from sequoiawind.lab.engine_model import EngineModel, ExportedBlock
 from sequoiawind.lab.log_model import LogModel
 from sequoiawind.lab.plain_model import PlainModel
 from sequoiawind.lab.weight_store import WeightStore
@@ -111,7 +111,7 @@
     def events(self, request: server.Request) -> bytes:
         """Return the cache events from the sequence number `after` on."""
         after = int(request.args.get(b"after", [b"0"])[0])
-        events = self.engine.events_after(after)
+        events = self.engine.events_from(after)
         return http_server.json_reply(request, wire.encode(events))
 
     def blocks(self, request: server.Request) -> bytes:
@@ -140,7 +140,9 @@
 
     def import_blocks(self, request: server.Request) -> bytes:
         """Import exported blocks; reply with the number imported."""
-        exported = wire.decode(http_server.body_of(request), list[KeptBlock])
+        exported = wire.decode(
+            http_server.body_of(request), list[ExportedBlock]
+        )
         imported = wire.encode(self.engine.import_blocks(exported))
         return http_server.json_reply(request, imported)
 
--- a/sequoiawind/pages.py
+++ b/sequoiawind/pages.py
@@ -55,7 +55,7 @@
         self, request: HttpRequest, connection: CallerConnection
     ) -> None:
         """Answer a request with its page, or with status 404."""
-        page = self.pages.get(request.target.partition(b"?")[0])
+        page = self.pages.get(request.request_target.partition(b"?")[0])
         if page is None or request.method != b"GET":
             connection.reply(404, [], b"")
             return
@@ -71,7 +71,7 @@
             # A failing page does not stop the daemon; the client gets a 500.
             self.log.error(
                 "page failed",
-                page=request.target[:80].decode("latin-1"),
+                page=request.request_target[:80].decode("latin-1"),
                 traceback=traceback.format_exc(limit=-4),
             )
             connection.reply(500, [], b"")
--- a/sequoiawind/platform/callers.py
+++ b/sequoiawind/platform/callers.py
@@ -16,14 +16,14 @@
 
 def decode_request(request: HttpRequest) -> ForwardRequest:
     """Convert a caller's HTTP request to the product's type."""
-    path = request.target.split(b"?", 1)[0].decode("latin-1")
+    path = request.request_target.split(b"?", 1)[0].decode("latin-1")
     host = request.header(b"host").decode("latin-1").lower()
     return ForwardRequest(
         request_id=request.header(names.ATTEMPT_ID).decode("latin-1"),
         host=host.partition(":")[0],
         path=path,
         method=request.method,
-        target=request.target,
+        request_target=request.request_target,
         headers=passed_headers(request.headers, DROPPED_HEADERS),
         body=request.body,
         key=key(request.header(names.AUTHORIZATION)),
--- a/sequoiawind/platform/engine.py
+++ b/sequoiawind/platform/engine.py
@@ -84,7 +84,7 @@
         request = order.request
         outgoing = OutgoingRequest(
             method=request.method,
-            target=request.target,
+            request_target=request.request_target,
             headers=engine_wire.request_headers(order),
             body=request.body,
             echo=(names.ATTEMPT_ID, request.request_id.encode("latin-1")),
@@ -103,7 +103,7 @@
         )
         request = OutgoingRequest(
             method=b"POST",
-            target=names.MOVE_TARGET,
+            request_target=names.MOVE_TARGET,
             headers=[
                 (b"host", address.encode()),
                 (b"content-type", b"application/json"),
@@ -128,7 +128,7 @@
         address, _, handle = moved_from.partition("/")
         request = OutgoingRequest(
             method=b"DELETE",
-            target=names.MOVED_TARGET + handle.encode(),
+            request_target=names.MOVED_TARGET + handle.encode(),
             headers=[(b"host", address.encode())],
         )
         # The target frees it by itself if this fails.
@@ -140,7 +140,7 @@
         """Return a target's report of its state."""
         request = OutgoingRequest(
             method=b"GET",
-            target=names.REPORT_TARGET,
+            request_target=names.REPORT_TARGET,
             headers=[(b"host", address.encode())],
         )
         answered = await fetch(self.client, address, request, timeout_s)
@@ -161,7 +161,7 @@
         """Return the changes of a cache, waiting for a first one."""
         request = OutgoingRequest(
             method=b"GET",
-            target=b"%s?since=%d" % (names.CACHE_EVENTS_TARGET, since),
+            request_target=b"%s?since=%d" % (names.CACHE_EVENTS_TARGET, since),
             headers=[
                 (b"host", address.encode()),
                 (names.WAIT_MS, b"%d" % int(wait_s * 1000)),
@@ -196,7 +196,7 @@
         )
         request = OutgoingRequest(
             method=b"POST",
-            target=names.ORDER_TARGET,
+            request_target=names.ORDER_TARGET,
             headers=[
                 (b"host", address.encode()),
                 (b"content-type", b"application/json"),
--- a/sequoiawind/platform/store.py
+++ b/sequoiawind/platform/store.py
@@ -110,7 +110,7 @@
         """Send a request to the store and check the answer's status."""
         request = OutgoingRequest(
             method=b"GET",
-            target=f"{path}?{urlencode(query)}".encode(),
+            request_target=f"{path}?{urlencode(query)}".encode(),
             headers=[(b"host", str(self.address).encode())],
         )
         answered = await fetch(self.client, self.address, request, timeout_s)
--- a/sequoiawind/ports.py
+++ b/sequoiawind/ports.py
@@ -126,7 +126,7 @@
 class EnginePort(Protocol):
     """Requests of an agent to its engine, other than attempts."""
 
-    def events_after(
+    def events_from(
         self, sequence: int
     ) -> Deferred[Result[CacheEvents, Failure]]:
         """Return the cache events from a sequence number on."""
--- a/sequoiawind/router.py
+++ b/sequoiawind/router.py
@@ -274,7 +274,7 @@
             return
         exchange = self.make_exchange(active_request, placed)
         active_request.exchange = exchange
-        active_request.note.path = exchange.path
+        active_request.note.targets_tried = exchange.targets_tried
         exchange.start()
 
     def fail_request(
--- a/sequoiawind/settings_follower.py
+++ b/sequoiawind/settings_follower.py
@@ -1,6 +1,6 @@
 """Follows a settings file while its process runs.
 
-The file is read again on a signal, and also checked periodically, since not
+The file is reloaded on a signal, and also checked periodically, since not
 everything that writes it sends a signal.  A faulty file changes no settings.
 """
 
@@ -61,7 +61,7 @@
         loaded = settings.load(self.file, self.kind)
         if loaded.is_error():
             faults = [str(fault) for fault in loaded.error]
-            self.log.error("settings not read again", faults=faults)
+            self.log.error("settings not reloaded", faults=faults)
             return
         self.on_change(loaded.ok)
 
--- a/sequoiawind/status_watcher.py
+++ b/sequoiawind/status_watcher.py
@@ -59,7 +59,8 @@
         router = quote(self.router)
         request = OutgoingRequest(
             method=b"GET",
-            target=STATUS_PATH + f"?after={after}&router={router}".encode(),
+            request_target=STATUS_PATH
+            + f"?after={after}&router={router}".encode(),
             headers=[(b"host", agent.encode())],
         )
         result = await fetch(self.client, agent, request, self.timeout_s)
--- a/tests/forward_rig.py
+++ b/tests/forward_rig.py
@@ -287,7 +287,7 @@
             "host": "h",
             "path": f"/{route}/x",
             "method": b"POST",
-            "target": f"/{route}/x".encode(),
+            "request_target": f"/{route}/x".encode(),
             "headers": [],
             "body": b"",
             "key": KEY,
--- a/tests/outer_names.py
+++ b/tests/outer_names.py
@@ -82,7 +82,7 @@
     "statement show": language.Show,
     "statement explain": language.ExplainRequest,
     "statement settle": language.SettleKey,
-    "kept block": engine_model.KeptBlock,
+    "kept block": engine_model.ExportedBlock,
     "append": standin_http.AppendBody,
     "outcome of an experiment": experiment.Outcome,
     **{f"command {verb}": node for verb, node in commands.NODES.items()},
--- a/tests/session.py
+++ b/tests/session.py
@@ -123,7 +123,7 @@
         )
         self.rig.add_router("r0")
         self.rig.add_router("r1")
-        self.rig.advance(2.0)
+        self.rig.advance_to(2.0)
 
     def play(self, steps: str) -> str:
         """Run steps and return the transcript."""
@@ -207,7 +207,7 @@
 
     def do_run(self, seconds: str) -> None:
         """Advance the clock."""
-        self.rig.advance(self.rig.clock.seconds() + float(seconds))
+        self.rig.advance_to(self.rig.clock.seconds() + float(seconds))
 
     def do_kill(self, name: str) -> None:
         """Kill a process."""
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -41,7 +41,7 @@
     protocol: Any
     transport: FakeTransport
 
-    def sent(self) -> bytes:
+    def take_sent(self) -> bytes:
         """Return the bytes that the code has sent since the last call."""
         data: bytes = self.transport.value()
         self.transport.clear()
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -68,8 +68,8 @@
         for faults in (
             # Lost between agent and router, so that the agent has all chunks.
             ChunkFaults(lost=0.05, sender="agent"),
-            ChunkFaults(doubled=0.3),
-            ChunkFaults(crossed=0.3),
+            ChunkFaults(duplicated=0.3),
+            ChunkFaults(reordered=0.3),
             ChunkFaults(foreign=0.3),
             ChunkFaults(broken=0.05, sender="agent"),
         ):
--- a/tests/test_forward_processes.py
+++ b/tests/test_forward_processes.py
@@ -100,21 +100,21 @@
         self.assertEqual("no_configuration", refused["reason"])
         self.assertEqual(200, self.get("metrics", "/metrics").status)
 
-    def test_settings_read_again(self) -> None:
+    def test_settings_reloaded(self) -> None:
         self.write(revoke=4000)
         self.process.send_signal(signal.SIGHUP)
-        line = self.wait_for("settings read again")
+        line = self.wait_for("settings reloaded")
         self.assertEqual(
             (True, False), (line["bounds_changed"], line["restart_needed"])
         )
         self.file.write_text("no settings", encoding="utf-8")
         self.process.send_signal(signal.SIGHUP)
-        self.wait_for("settings not read again")
+        self.wait_for("settings not reloaded")
         self.assertEqual(503, self.get("callers", "/a/b").status)
 
     def test_notices_settings_that_change_without_a_signal(self) -> None:
         self.write(revoke=4000)
-        line = self.wait_for("settings read again")
+        line = self.wait_for("settings reloaded")
         self.assertEqual(True, line["bounds_changed"])
 
     def test_leaves_on_sigterm(self) -> None:
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -235,7 +235,7 @@
             rig.add(target("t1"), target("e1", "llm"))
             forwarding = rig.forwarder.submit(rig.request(route), FakeCaller())
             assert forwarding is not None
-            forwarding.caller_gone()
+            forwarding.caller_disconnected()
             call = rig.port.sent[0].call
             self.assertEqual(is_cancelled, call.is_cancelled, route)
             self.assertEqual(0, rig.forwarder.open_requests)
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -18,7 +18,7 @@
 ECHO = (b"x-id", b"q1")
 REQUEST = OutgoingRequest(
     method=b"POST",
-    target=b"/a?b",
+    request_target=b"/a?b",
     headers=[(b"host", b"h"), ECHO],
     body=b"body",
     echo=ECHO,
@@ -74,7 +74,7 @@
         self.assertEqual(
             b"POST /a?b HTTP/1.1\r\nhost: h\r\nx-id: q1\r\n"
             b"content-length: 4\r\n\r\nbody",
-            peer.sent(),
+            peer.take_sent(),
         )
 
     def test_whole_answer_keeps_the_connection(self) -> None:
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -56,7 +56,7 @@
                 for place in range(0, len(data), size):
                     connection.dataReceived(data[place : place + size])
                 request, _ = self.taken[-1]
-                self.assertEqual(target, request.target)
+                self.assertEqual(target, request.request_target)
                 self.assertEqual(body, request.body)
 
     def test_invalid_requests_are_refused(self) -> None:
@@ -104,7 +104,7 @@
         self.assertEqual(1, len(self.taken))
         connection.reply(200, [], b"one")
         self.clock.advance(0.0)
-        self.assertEqual(b"/b", self.taken[-1][0].target)
+        self.assertEqual(b"/b", self.taken[-1][0].request_target)
         connection.reply(200, [], b"two")
         self.assertTrue(transport.value().endswith(b"two"))
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -42,7 +42,7 @@
     engines = [rig.agents[name].target for name in ENGINES]
     most_loads = 0
     for step in range(400):
-        rig.advance(step * 0.1)
+        rig.advance_to(step * 0.1)
         most_loads = max(most_loads, sum(engine.loading for engine in engines))
         if pause_agent and step == 30:
             rig.agents[pause_agent].node.pause()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -178,7 +178,7 @@
         results: list[Any] = []
         Deferred.fromCoroutine(pending).addCallback(results.append)
         peer = accept(reactor)
-        self.request = peer.sent()
+        self.request = peer.take_sent()
         peer.protocol.dataReceived(reply)
         return results[0]
 
@@ -231,7 +231,7 @@
         return callers.decode_request(
             HttpRequest(
                 method=b"POST",
-                target=b"/a/b?c=d",
+                request_target=b"/a/b?c=d",
                 headers=[(b"host", b"H.example:80"), *headers],
                 body=b"body",
                 arrived_s=1.0,
@@ -282,7 +282,7 @@
             **fields,
         )
         client.send(order, IgnoringSink())
-        return accept(reactor).sent()
+        return accept(reactor).take_sent()
 
     def test_only_the_system_sets_its_headers(self) -> None:
         sent = self.sent(
@@ -370,7 +370,7 @@
         pending = client.move(order, 1.0)
         Deferred.fromCoroutine(pending).addCallback(results.append)
         peer = accept(reactor)
-        self.request = peer.sent()
+        self.request = peer.take_sent()
         peer.protocol.dataReceived(reply)
         return results[0]
 
@@ -402,7 +402,7 @@
         engine.EngineClient(
             client=Http1Client(reactor=reactor)
         ).release_moved_run("10.0.0.1:80/h7")
-        sent = accept(reactor).sent()
+        sent = accept(reactor).take_sent()
         self.assertTrue(sent.startswith(b"DELETE /api/kv-handle/h7 HTTP/1.1"))
 
 
--- a/tests/test_stream_move.py
+++ b/tests/test_stream_move.py
@@ -150,7 +150,7 @@
     def test_caller_disconnects_during_the_move(self) -> None:
         self.begin()
         (forwarding,) = self.rig.forwarder.open
-        forwarding.caller_gone()
+        forwarding.caller_disconnected()
         self.assertTrue(self.first.call.is_cancelled)
         self.answer()
         self.assertEqual(1, len(self.rig.port.sent))
