--- a/sequoiawind/agent_http.py
+++ b/sequoiawind/agent_http.py
@@ -146,11 +146,11 @@
         return metrics.render(self.metrics.registry)
 
     def health(self, request: server.Request) -> bytes:
-        """Answer that the process is alive."""
+        """Answer a liveness check."""
         return b"ok\n"
 
     def ready(self, request: server.Request) -> bytes:
-        """Answer whether the agent accepts new work."""
+        """Answer a readiness check: status 503 unless new work is accepted."""
         if self.agent.drain_reason or not self.board.phase.is_ready:
             request.setResponseCode(http.SERVICE_UNAVAILABLE)
             return b"not ready\n"
--- a/sequoiawind/http1_client.py
+++ b/sequoiawind/http1_client.py
@@ -1,10 +1,10 @@
-"""HTTP/1.1 client for targets that tells which failed calls may have run.
+"""HTTP/1.1 client for targets; its failures state whether a call may have run.
 
 A request that must not run twice needs to know how far a failed call got and
-where exactly its answer ends.  `treq` hides the first and reads on past the
-second, so `h11` parses and frames here.  A call that fails before its bytes
-are handed to a connection is known not to have run; a call that fails later
-may have run.
+where exactly its answer ends.  `treq` hides the former and continues to read
+past the latter, so `h11` parses and frames here.  A call that fails before its
+bytes are passed to a connection is known not to have run; a call that fails
+later may have run.
 """
 
 from collections import defaultdict
@@ -195,7 +195,7 @@
             sink.done()
 
     def skip_answer(self) -> None:
-        """Drop another request's answer and wait for the one to ours."""
+        """Discard another request's answer and wait for this request's."""
         extra, _ = self.http.trailing_data
         self.client.on_foreign_answer()
         self.is_skipping = False
@@ -258,6 +258,7 @@
     )
     # Called for each answer that belonged to another request.
     on_foreign_answer: Callable[[], None] = attrs.field(default=lambda: None)
+    # Called before each new connection is opened.
     on_connect: Callable[[], None] = attrs.field(default=lambda: None)
 
     def call(
@@ -265,10 +266,10 @@
     ) -> HttpCall:
         """Send a request, over an idle connection if there is one."""
         call = HttpCall()
-        kept = self.pop_idle(address)
-        if kept is not None:
-            call.connection = kept
-            kept.send(request, sink)
+        idle = self.pop_idle(address)
+        if idle is not None:
+            call.connection = idle
+            idle.send(request, sink)
             return call
         self.on_connect()
         host, _, port = address.rpartition(":")
@@ -299,27 +300,31 @@
         return call
 
     def pop_idle(self, address: str) -> TargetConnection | None:
-        """Return the most recently used idle connection; None without one."""
+        """Remove and return the most recently used idle connection.
+
+        Connections that have been idle for too long are closed; None if no
+        other is left.
+        """
         now_s = self.reactor.seconds()
-        kept = self.idle[address]
-        while kept:
-            connection = kept.pop()
+        connections = self.idle[address]
+        while connections:
+            connection = connections.pop()
             if now_s - connection.idle_since_s < connection.keep_alive_s:
                 return connection
             connection.drop()
         return None
 
     def add_idle(self, connection: TargetConnection) -> None:
-        """Keep a connection for another call, as idle from now on."""
+        """Add a connection to the idle ones, for use by another call."""
         connection.idle_since_s = self.reactor.seconds()
         self.idle[connection.address].append(connection)
 
     def remove_idle(self, connection: TargetConnection) -> None:
         """Remove a connection from the idle ones."""
-        kept = self.idle[connection.address]
-        if connection in kept:
-            kept.remove(connection)
-        if not kept:
+        connections = self.idle[connection.address]
+        if connection in connections:
+            connections.remove(connection)
+        if not connections:
             del self.idle[connection.address]
 
 
@@ -382,7 +387,10 @@
     request: OutgoingRequest,
     timeout_s: float,
 ) -> Deferred[Result[HttpReply, Failure]]:
-    """Return the whole answer to a request, or the failure on time-out."""
+    """Send a request; return its whole answer, or the failure.
+
+    A call that takes longer than `timeout_s` seconds is cancelled and fails.
+    """
     sink = ReplySink()
     call = client.call(str(address), request, sink)
 
--- a/sequoiawind/http1_server.py
+++ b/sequoiawind/http1_server.py
@@ -56,11 +56,13 @@
         self.http = self.new_parser()
         self.head: h11.Request | None = None
         self.body = bytearray()
-        # When the request being read began; None between requests.
+        # Arrival of the first byte of the request being read, in seconds of the
+        # clock; None if no request is being read.
         self.arrived_s: float | None = None
         self.timer: Timer | None = None
         # Whether a request was dispatched and its answer is not complete.
         self.is_answering = False
+        # Whether the connection is lost, or has been closed by `close`.
         self.is_lost = False
         # Called once if the caller disconnects before its answer is complete.
         self.on_disconnect: Callable[[], None] | None = None
@@ -228,7 +230,7 @@
             self.transport.loseConnection()
 
     def next_request(self) -> None:
-        """Parse the next request if bytes of it are here, or wait for one."""
+        """Wait for the next request, and parse what has arrived of it."""
         ahead, _ = self.http.trailing_data
         try:
             self.http.start_next_cycle()
--- a/sequoiawind/http_client.py
+++ b/sequoiawind/http_client.py
@@ -58,6 +58,7 @@
 
     client: HTTPClient
     secret: str = ""
+    # Applies to the response's head and again to its body, in seconds.
     timeout_s: float = defaults.PEER_TIMEOUT_S
 
     async def call(
--- a/sequoiawind/http_ports.py
+++ b/sequoiawind/http_ports.py
@@ -103,7 +103,7 @@
         self.end(Ended(failure=failure))
 
     def lost(self) -> None:
-        """Handle the end of the stream; a failure without an end event."""
+        """Fail the attempt if the stream ended without an end event."""
         text = messages.CONNECTION_LOST
         self.end(Ended(failure=may_have_run(Reason.CONNECTION_LOST, text)))
 
@@ -185,6 +185,7 @@
     attempt: Attempt
     sink: Sink
     stream: EventCall | None = None
+    # Whether the last chunk has arrived.
     is_whole: bool = False
     usage: wire.Usage = attrs.field(factory=wire.Usage)
 
@@ -206,7 +207,7 @@
         self.sink.ended(Ended(failure=failure))
 
     def lost(self) -> None:
-        """Handle the end of the stream; a failure without a last chunk."""
+        """End the sequence; it failed if its last chunk has not arrived."""
         if self.is_whole:
             self.sink.ended(Ended(usage=self.usage))
             return
@@ -298,7 +299,7 @@
 
 @attrs.define(kw_only=True)
 class EngineControlPort:
-    """Reads an engine's cache and load, and orders its weights version."""
+    """Reads an engine's cache and load, and orders it to load weights."""
 
     json: JsonClient
     address: Address
--- a/sequoiawind/http_server.py
+++ b/sequoiawind/http_server.py
@@ -73,7 +73,7 @@
             self.body_timer.cancel()
 
     def refuse_body(self, reason: Reason) -> None:
-        """Reply with an error without reading on, and close."""
+        """Reply with an error without reading the rest, and close."""
         self.stop_body_timer()
         channel: Any = self.channel
         if channel is None:
--- a/sequoiawind/openai_format.py
+++ b/sequoiawind/openai_format.py
@@ -17,8 +17,8 @@
 TEXT_PATH: Final = "/v1/completions"
 MODELS_PATH: Final = "/v1/models"
 DONE: Final = b"[DONE]"
-# The `created` time in answers is fixed to that of the format's first version,
-# so that the answers to one request are equal wherever they are computed.
+# The `created` field of all answers.  It is a constant instead of the current
+# time, so that the answers to one request are equal wherever they are computed.
 CREATED: Final = 0
 
 Json = dict[str, Any]
@@ -147,13 +147,13 @@
 
 
 def count_in(body: Mapping[str, Any], name: str) -> int:
-    """Return a count that an engine reports; 0 if not a positive integer."""
+    """Return a token count of a usage; 0 if not a positive integer."""
     value = body.get(name)
     return value if isinstance(value, int) and value > 0 else 0
 
 
 def usage_json(usage: Usage) -> Json:
-    """Return the usage block of an answer."""
+    """Return the `usage` field of an answer."""
     return {
         "prompt_tokens": usage.prompt_tokens,
         "completion_tokens": usage.completion_tokens,
--- a/sequoiawind/router_http.py
+++ b/sequoiawind/router_http.py
@@ -27,6 +27,7 @@
 from sequoiawind.verdict import Failure, Reason, Verdict, not_run
 from sequoiawind.wire import Ended
 
+# Largest number of completion tokens that a caller may request.
 MAX_TOKENS: Final = 8192
 
 
@@ -143,7 +144,11 @@
         return app
 
     def new_request_id(self, request: server.Request) -> str:
-        """Return the caller's request id, or a new one."""
+        """Return the request id that a caller sent, or a random one.
+
+        An id is random if the caller sent none, or one that is too long or not
+        printable ASCII.
+        """
         sent = http_server.header(request, http_server.REQUEST_ID_HEADER)
         if sent and len(sent) <= 64 and sent.isascii() and sent.isprintable():
             return sent
@@ -310,11 +315,11 @@
         return metrics.render(self.metrics.registry)
 
     def health(self, request: server.Request) -> bytes:
-        """Answer that the process is alive."""
+        """Answer a liveness check."""
         return b"ok\n"
 
     def ready(self, request: server.Request) -> bytes:
-        """Answer whether the router accepts new work."""
+        """Answer a readiness check: status 503 unless new work is accepted."""
         if not self.board.phase.is_ready:
             request.setResponseCode(http.SERVICE_UNAVAILABLE)
             return b"not ready\n"
@@ -331,7 +336,7 @@
 
 
 def completion_fault(path: str, body: Mapping[str, Any]) -> str:
-    """Return what is wrong with a completion's body; empty if nothing is."""
+    """Return why a completion's body is invalid; empty if it is valid."""
     if not isinstance(body.get("model"), str):
         return messages.NO_MODEL
     if not openai_format.prompt_of(path, body):
@@ -345,7 +350,10 @@
 
 
 def wanted_tokens(body: Mapping[str, Any]) -> Any:
-    """Return the number of tokens a completion asks for."""
+    """Return the requested number of completion tokens, unchecked.
+
+    It is the default number if the body has neither field.
+    """
     for name in ("max_completion_tokens", "max_tokens"):
         if body.get(name) is not None:
             return body[name]
--- a/sequoiawind/sse.py
+++ b/sequoiawind/sse.py
@@ -21,7 +21,7 @@
 
 @attrs.define(kw_only=True)
 class Event:
-    """One event; not frozen, since one is made for each chunk."""
+    """One event; not frozen, to keep the creation of one per chunk cheap."""
 
     name: bytes = b""
     id: bytes = b""
@@ -63,7 +63,7 @@
     max_bytes: int = defaults.MAX_BODY_BYTES
 
     def feed(self, data: bytes) -> Iterator[Event]:
-        """Yield the events completed by the data; keep the rest.
+        """Yield the events that the data completes; buffer the remainder.
 
         Raises:
           SseError: An event is longer than allowed.
--- a/sequoiawind/wire.py
+++ b/sequoiawind/wire.py
@@ -25,7 +25,7 @@
     """A target's state as its agent knows it; sent along with answers."""
 
     target: str = ""
-    # Incarnation of the target; changes when it restarts.
+    # Identifies one run of the target; changes when it restarts.
     incarnation: str = ""
     # Estimated wait before new work would start, in seconds.
     wait_s: float = 0.0
@@ -82,7 +82,7 @@
     cache_salt: str = ""
     prompt: str = ""
     max_tokens: int = 0
-    # First chunk wanted; the chunks before it are in `partial`.
+    # Index of the first chunk wanted, and the text of the chunks before it.
     start_index: int = 0
     partial: str = ""
     # Resume the chunks of this attempt instead of starting a new one.
@@ -124,9 +124,10 @@
 
 @attrs.frozen(kw_only=True)
 class Ended:
-    """The end of an attempt: an answer or a failure, never both."""
+    """The end of an attempt: it succeeded unless `failure` is set."""
 
     failure: Failure | None = None
+    # The answer of a plain service; an engine's answer is sent in chunks.
     reply: Reply | None = None
     usage: Usage = attrs.field(factory=Usage)
     load: LoadReport | None = None
@@ -139,8 +140,8 @@
 class TargetStatus:
     """Status of a forwarded target, sent by its agent to the routers."""
 
-    # Increases with each change; a router asks for a newer status than its
-    # own.
+    # Increases with each change; a router polls for a status with a higher
+    # number than the last one it received.
     number: int = 0
     # The target's name and start time, by which a router checks that the
     # status is that of the target it knows.
