--- a/sequoiawind/ctl_main.py
+++ b/sequoiawind/ctl_main.py
@@ -133,7 +133,11 @@
 
 
 def wait_in_force(client: RouterClient, revision: int, limit_s: float) -> None:
-    """Wait until all daemons have a revision; else print those behind."""
+    """Wait until a revision is in force on all daemons.
+
+    After the time limit the daemons without it are printed, and the program
+    exits with status 1.
+    """
     deadline_s = time.monotonic() + limit_s
     while True:
         _, body = client.run("show daemons")
@@ -148,7 +152,7 @@
 
 
 def daemons_behind(answer: Answer, revision: int) -> list[str]:
-    """Return the daemons that do not have a revision yet."""
+    """Return the daemons that have no such revision or did not answer."""
     name = answer.columns.index("name")
     column = answer.columns.index("revision")
     behind = [
--- a/sequoiawind/daemon.py
+++ b/sequoiawind/daemon.py
@@ -26,6 +26,7 @@
     on_draining: Callable[[], None] = attrs.field(default=lambda: None)
     # Called on SIGHUP: the settings file may have changed.
     on_reload: Callable[[], None] = attrs.field(default=lambda: None)
+    # Time between the signal and draining, in seconds.
     balancer_wait_s: float = 0.0
     lifecycle: Any = attrs.field(init=False)
 
--- a/sequoiawind/defaults.py
+++ b/sequoiawind/defaults.py
@@ -1,4 +1,4 @@
-"""Default values and fixed bounds, each with its unit in the name.
+"""Default values and fixed bounds; a name ends in the unit, if there is one.
 
 Settings override the defaults; the bounds are part of the protocol between
 daemons and are the same everywhere.
@@ -7,6 +7,7 @@
 from typing import Final
 
 # Prompts.
+# Sizes of the blocks by which routers place prompts and engines cache them.
 PLACEMENT_BLOCK_BYTES: Final = 1024
 ENGINE_BLOCK_BYTES: Final = 256
 BYTES_PER_TOKEN: Final = 4
@@ -38,10 +39,13 @@
 MAX_EJECTED_SHARE: Final = 0.5
 # Weight of one attempt in the moving average of a target's failures.
 FAILURE_SHARE_WEIGHT: Final = 0.15
+# Share of a pool on leaving VMs above which the VM list is taken to be wrong.
 MAX_LEAVING_SHARE: Final = 0.5
 
 # Placement.
+# Targets to which a request may be sent without a probe, besides its home.
 MAX_UNPROBED_CHOICES: Final = 2
+# Parameters of `sharing.SharingTracker`.
 PREFIX_COUNTERS: Final = 20_000
 SHARING_WINDOW_S: Final = 30.0
 SPLIT_SHARE: Final = 0.5
@@ -62,18 +66,27 @@
 # Agent.
 MAX_QUEUE: Final = 256
 MAX_RUNNING: Final = 24
+# Prompt tokens that may be in prefill at a target at the same time, unless a
+# single prompt is longer.
 MAX_PREFILL_AHEAD_TOKENS: Final = 4096
 PREFILL_TOKENS_PER_S: Final = 10_000.0
+# Wait accepted for a cached prefix, as a multiple of the time that recomputing
+# the prefix would take.
 PATIENCE: Final = 4.0
 EVENTS_POLL_S: Final = 0.1
 MAX_PLACEMENT_BLOCKS: Final = 20_000
 # How long after its expected wait a prompt's blocks are still expected in the
 # engine's cache.
 EXPECTED_BLOCK_S: Final = 3.0
+# Time after which an engine's attempt that no router resumes is cancelled, and
+# time for which an ended attempt can still be resumed.
 RESUME_GRACE_S: Final = 2.0
 RESUME_KEEP_S: Final = 10.0
 AGENT_TICK_S: Final = 0.1
+# Wait that is always accepted, so that an idle target refuses no prompt whose
+# computation alone takes longer than the limit.
 BASE_WAIT_S: Final = 0.05
+# Longest time to the first token, or wait at a plain service.
 MAX_FIRST_S: Final = 5.0
 LOAD_REPORT_LIFETIME_S: Final = 2.0
 
@@ -103,6 +116,8 @@
 # of a key when the last one is made.
 KEY_AGE_SHARE_OF_RETENTION: Final = 0.5
 KEY_SKEW_SHARE_OF_RETENTION: Final = 0.25
+# Time from the start of a claim within which it must be won; the request of a
+# later one is not sent.
 CLAIM_SEND_WINDOW_S: Final = 30.0
 CLAIM_READ_ATTEMPTS: Final = 5
 CLAIM_READ_PAUSE_S: Final = 0.2
@@ -111,10 +126,15 @@
 
 # Membership.
 VM_LIST_POLL_S: Final = 2.0
+# Size of a VM's line in the list, and the rate at which a router may read the
+# list.
 VM_LIST_LINE_B: Final = 31
 VM_LIST_BUDGET_B_PER_S: Final = 700.0
 PEER_TIMEOUT_S: Final = 1.0
+# Time between two demand messages of a router.
 LIMIT_SHARE_PERIOD_S: Final = 1.0
+# Demand above which a router reports an account to its peers, as a share of its
+# equal part of the account's rate limit.
 MIN_REPORTED_DEMAND_SHARE: Final = 0.1
 MAX_REPORTED_ACCOUNTS: Final = 20
 # Size of a demand message with the HTTP heads of request and answer, and the
@@ -122,7 +142,8 @@
 DEMAND_MESSAGE_B: Final = 730
 DEMAND_BUDGET_B_PER_S: Final = 400.0
 
-# Shutdown.
+# Shutdown: time for which a router answers "not ready" before it closes its
+# listener.
 BALANCER_WAIT_S: Final = 1.0
 
 # Recent requests that `explain request` can look up.
--- a/sequoiawind/forward_agent_program.py
+++ b/sequoiawind/forward_agent_program.py
@@ -25,13 +25,13 @@
 
 # How long the store may wait for a change before it answers, in seconds, and
 # the pause after a change, so that one answer carries several.  An agent checks
-# no keys, but must learn of new weights soon, even if a connection stalls.
+# no API keys, but must learn of new weights soon, even if a connection stalls.
 OPERATOR_WAIT_S: Final = 3.0
-OPERATOR_PACE_S: Final = 0.4
-# The same for the targets, which an agent only needs to know its turn to order
-# weights.
+OPERATOR_READ_PAUSE_S: Final = 0.4
+# The same for the targets; an agent uses them only to determine when it is its
+# turn to order weights.
 TARGETS_WAIT_S: Final = 8.0
-TARGETS_PACE_S: Final = 1.0
+TARGETS_READ_PAUSE_S: Final = 1.0
 # Time allowed for another agent's answer, in seconds.
 PEER_ANSWER_S: Final = 0.3
 
@@ -78,7 +78,11 @@
         self.log.info("listening", port=node.agent_port)
 
     async def status_body(self, request: HttpRequest) -> bytes:
-        """Return the target's status, after a wait for one that is newer."""
+        """Return the target's status, encoded.
+
+        The answer waits up to `STATUS_WAIT_S` for a status that is newer than
+        the number `after` in the query.
+        """
         query = request.target.partition(b"?")[2].decode("latin-1")
         arguments = dict(parse_qsl(query))
         after = arguments.get("after", "-1")
@@ -108,9 +112,12 @@
             log=self.log,
         )
         self.follow_records(
-            names.OPERATOR_TOPIC, operator, OPERATOR_WAIT_S, OPERATOR_PACE_S
+            names.OPERATOR_TOPIC,
+            operator,
+            OPERATOR_WAIT_S,
+            OPERATOR_READ_PAUSE_S,
         )
         self.follow_records(
-            names.TARGETS_TOPIC, targets, TARGETS_WAIT_S, TARGETS_PACE_S
+            names.TARGETS_TOPIC, targets, TARGETS_WAIT_S, TARGETS_READ_PAUSE_S
         )
         Deferred.fromCoroutine(self.agent.run())
--- a/sequoiawind/forward_program.py
+++ b/sequoiawind/forward_program.py
@@ -1,7 +1,7 @@
 """Base class of the forwarding router and agent programs.
 
 Both follow the store's records and their own settings file; the subclasses
-define what is done with them.
+define how records and changed settings are applied.
 """
 
 import random
@@ -65,9 +65,12 @@
         Args:
           topic: The topic.
           reader: Processes its records.
-          wait_s: How long the store may wait for a change before it answers.
-          read_pause_s: Pause after a change, so that an answer carries several.
-          age_clock: Returns the time by which the records' age is measured.
+          wait_s: How long the store may wait for a change before it answers,
+            in seconds.
+          read_pause_s: Pause after each read that returned records, in
+            seconds, so that the next read returns several changes.
+          age_clock: Returns the time in seconds from which the records' age
+            is computed.
         """
         follower = RecordFollower(
             topic=topic,
--- a/sequoiawind/forward_router_program.py
+++ b/sequoiawind/forward_router_program.py
@@ -44,7 +44,7 @@
 TARGETS_WAIT_SHARE: Final = 0.7
 # Pause after targets have changed, in seconds, so that one read returns several
 # changes; a small part of the bound on leaving targets.
-TARGETS_PACE_S: Final = 0.15
+TARGETS_READ_PAUSE_S: Final = 0.15
 # Time allowed for an agent's answer, in seconds, beyond the time for which the
 # agent may wait for a change.
 STATUS_ANSWER_S: Final = 0.5
@@ -254,7 +254,7 @@
                 names.TARGETS_TOPIC,
                 targets,
                 TARGETS_WAIT_SHARE * bounds.drain_ms / 1000,
-                TARGETS_PACE_S,
+                TARGETS_READ_PAUSE_S,
             ),
         ):
             self.follow_records(
--- a/sequoiawind/log_pipe.py
+++ b/sequoiawind/log_pipe.py
@@ -28,6 +28,7 @@
     """Rate limiter of log lines (token bucket); a `structlog` processor."""
 
     now: Callable[[], float] = time.monotonic
+    # Lines that may be written now; grows with time up to the largest burst.
     available: float = BURST_LINES
     updated_s: float = 0.0
     # Lines left out since the last one that was written.
--- a/sequoiawind/options.py
+++ b/sequoiawind/options.py
@@ -38,7 +38,7 @@
     log: Address
     # How long the log keeps records, in seconds.
     log_retention_s: float = defaults.LOG_RETENTION_S
-    # The list of live and leaving VMs; left out if there is none.
+    # Address of the list of live and leaving VMs; None if there is no list.
     vm_list: Address | None = None
 
 
@@ -87,7 +87,7 @@
 class BoundsOptions:
     """Limits on times and repeats that the platform imposes on the system."""
 
-    # Time after which a revoked key must no longer be accepted.
+    # Time after which a revoked API key must no longer be accepted.
     revoke_ms: float = 5_000.0
     # Time within which a new configuration must be in force.
     in_force_ms: float = 2_000.0
--- a/sequoiawind/settings.py
+++ b/sequoiawind/settings.py
@@ -1,6 +1,6 @@
 """Reading and checking settings files.
 
-A file is checked as a whole before the daemon opens a port; each fault names
+All faults of a file are found before the daemon opens a port; each fault names
 the file, the key path and what was expected there.
 """
 
@@ -58,7 +58,11 @@
 
 
 def parse(file: str, text: str, kind: type[T]) -> Result[T, list[Fault]]:
-    """Check the text of a settings file."""
+    """Parse and check the text of a settings file.
+
+    Returns:
+      The settings, or all faults of the file.
+    """
     try:
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -168,7 +172,7 @@
 
 
 def describe(hint: Any) -> str:
-    """Return the description of a type for a fault's text."""
+    """Return what a fault states as expected for a type."""
     names: dict[Any, str] = {
         str: "a string",
         int: "a whole number",
