--- a/sequoiawind/platform/callers.py
+++ b/sequoiawind/platform/callers.py
@@ -34,7 +34,7 @@
 
 
 def key(authorization: bytes) -> str:
-    """Return the key in an Authorization header; empty if there is none."""
+    """Return the API key in an Authorization header; empty if it has none."""
     scheme, _, value = authorization.partition(b" ")
     if scheme.lower() != names.KEY_SCHEME:
         return ""
@@ -48,7 +48,7 @@
 
 
 def decode_prompt(request: HttpRequest) -> Prompt | None:
-    """Return the prompt that headers describe; None without a model."""
+    """Return the prompt that headers describe; None if they name no model."""
     model = request.header(names.MODEL)
     if not model:
         return None
@@ -108,7 +108,10 @@
         self.connection.abort_answer()
 
     def refuse(self, failure: Failure) -> None:
-        """Send a failure's status, and when to retry if it has not run."""
+        """Send a failure's status.
+
+        Retry-After is sent only if the request was not run.
+        """
         headers: Headers = []
         if failure.verdict is Verdict.NOT_RUN and failure.retry_after_s:
             text = f"{failure.retry_after_s:.3f}".encode()
--- a/sequoiawind/platform/configuration.py
+++ b/sequoiawind/platform/configuration.py
@@ -40,7 +40,7 @@
     service: str = ""
     traffic_split: list[Split] = []
     max_attempts: int = 1
-    # Requests need no API key.
+    # Whether requests need no API key.
     public: bool = False
     resumable: bool = False
     gap_aim_ms: float = 0.0
@@ -66,9 +66,9 @@
 
     name: str
     engine: EngineRecord | None = None
-    # Set for a store of cached prompts, which is no target.
+    # Address, if the service is a store of cached prompts; else empty.
     kv_store_addr: str = ""
-    # Capacity of such a store.
+    # Capacity of such a store, in tokens.
     kv_capacity_tokens: int = 0
 
 
@@ -102,7 +102,7 @@
 
 
 class WeightsRecord(msgspec.Struct):
-    """A newer weights version of a model."""
+    """A model's weights version as the operator writes it."""
 
     model: str
     version: int
@@ -117,7 +117,7 @@
 
 
 def decode_configuration(value: bytes) -> ForwardState:
-    """Return the configuration in a record.
+    """Return the configuration that a record holds.
 
     Raises:
       WireError: The record is not a configuration.
@@ -139,10 +139,10 @@
 
 
 def decode_weights(value: bytes) -> NamedWeights:
-    """Return the weights that a record names.
+    """Return the weights version that a record names.
 
     Raises:
-      WireError: The record names none.
+      WireError: The record is not one of a weights version.
     """
     record = wire.decode(value, WeightsRecord)
     return NamedWeights(model=record.model, version=record.version)
--- a/sequoiawind/platform/engine.py
+++ b/sequoiawind/platform/engine.py
@@ -33,7 +33,7 @@
 TOO_MANY_WATCHERS: Final = 429
 # Timeout for freeing the memory of a run, in seconds: a round trip and some
 # waiting.
-DROP_TIMEOUT_S: Final = 0.5
+RELEASE_TIMEOUT_S: Final = 0.5
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -56,7 +56,7 @@
         )
 
     def versions(self, found: Mapping[bytes, bytes]) -> dict[str, int]:
-        """Return the weights version that an answer names."""
+        """Return the weights version of the model; empty if not stated."""
         text = found.get(names.WEIGHT_VERSIONS, b"").strip()
         return {self.model: int(text)} if text.isdigit() else {}
 
@@ -132,7 +132,7 @@
             headers=[(b"host", address.encode())],
         )
         # The target frees it by itself if this fails.
-        fetch(self.client, address, request, DROP_TIMEOUT_S)
+        fetch(self.client, address, request, RELEASE_TIMEOUT_S)
 
     async def report(
         self, address: str, timeout_s: float
@@ -158,7 +158,10 @@
     async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheChanges, Failure]:
-        """Return the changes of a cache, waiting for a first one."""
+        """Return the changes of a cache from number `since` on.
+
+        If there are none yet, the cache waits `wait_s` seconds for a first one.
+        """
         request = OutgoingRequest(
             method=b"GET",
             target=b"%s?since=%d" % (names.CACHE_EVENTS_TARGET, since),
--- a/sequoiawind/platform/engine_wire.py
+++ b/sequoiawind/platform/engine_wire.py
@@ -37,14 +37,15 @@
 
 
 class EventsRecord(msgspec.Struct):
-    """Changes of a cache."""
+    """The changes of a cache since a change number."""
 
-    # Changes at each start of the cache.
+    # Identifies one run of the cache; changes when it restarts.
     boot_epoch: int
     # The `since` of the next request.
     next_token: int
     lost: bool = False
-    # Number, + or -, salt, part, tokens held now, model.
+    # Change number, + or -, salt, id of the part, tokens of it that the cache
+    # holds now, and model.
     events: list[tuple[int, str, str, str, int, str]] = []
 
 
@@ -59,7 +60,7 @@
     # Number of orders that the target must have accepted before this one.
     precondition: int
     op: str = "version"
-    # Wait for runs to finish first.
+    # "wait": the target finishes its runs before it loads.
     transfer_mode: str = "wait"
 
 
@@ -81,7 +82,7 @@
 
 
 def refusal(status: int, found: Mapping[bytes, bytes]) -> Failure | None:
-    """Return a failure if an answer says that the request was not run."""
+    """Return a failure if an answer states that its request was not run."""
     if status == WRONG_INSTANCE:
         return not_run(Reason.TARGET_REPLACED, messages.TARGET_REFUSED)
     if names.NOT_EXECUTED in found:
@@ -95,7 +96,10 @@
 
 
 def caller_headers(order: SendOrder) -> Headers:
-    """Return the caller's headers, less its position if a stream resumes."""
+    """Return the caller's headers.
+
+    If a broken stream is resumed, the position in `Last-Event-ID` is left out.
+    """
     if order.after_event is None:
         return order.request.headers
     return [
--- a/sequoiawind/platform/store.py
+++ b/sequoiawind/platform/store.py
@@ -32,7 +32,9 @@
 PARTITION: Final = "0"
 # Status of the store if the requested records have been deleted.
 GONE: Final = 410
+# Length of a record in the body of a read, before the record.
 LENGTH: Final = struct.Struct(">I")
+# End and first offset of the partition, at the start of the body of a read.
 END_AND_FIRST: Final = struct.Struct(">QQ")
 
 
@@ -64,7 +66,10 @@
     async def newest(
         self, topic: str, after: str, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        """Return a page of the newest record of each key after a given key."""
+        """Return one page of the newest records, by key.
+
+        The page contains one record for each key after the given one.
+        """
         query = {"topic": topic, "part": PARTITION}
         if after:
             query["after"] = after
@@ -89,7 +94,10 @@
     async def read(
         self, topic: str, start: int, wait_s: float, timeout_s: float
     ) -> Result[KeyedPage, ReadFailure]:
-        """Return the records from an offset on, waiting for a first one."""
+        """Return the records from an offset on.
+
+        If there are none yet, the store waits `wait_s` seconds for a first one.
+        """
         query = {
             "topic": topic,
             "part": PARTITION,
@@ -128,8 +136,7 @@
     """Decode the body of a read.
 
     Raises:
-      struct.error, IndexError: The body is cut short.
-      UnicodeDecodeError: A key is not text.
+      struct.error, IndexError: The body is truncated.
     """
     end, _ = END_AND_FIRST.unpack_from(body)
     position, records = END_AND_FIRST.size, []
@@ -138,7 +145,7 @@
         position += LENGTH.size
         content = body[position : position + length]
         if len(content) < length:
-            raise IndexError("a record is cut short")
+            raise IndexError("a record is truncated")
         position += length
         records.append(decode_record(content))
     # A read may return fewer records than there are before the end.
--- a/sequoiawind/platform/targets.py
+++ b/sequoiawind/platform/targets.py
@@ -9,7 +9,7 @@
 
 
 class ModelVersion(msgspec.Struct):
-    """A model that a target serves."""
+    """A model that a target serves, with the version of its weights."""
 
     name: str
     version: int = 0
@@ -29,7 +29,7 @@
 
 
 def decode_target(name: str, value: bytes) -> Result[ForwardTarget, str]:
-    """Return the target that an entry describes, or why it is invalid."""
+    """Return the target in an entry, or why the entry is invalid."""
     try:
         record = wire.decode(value, TargetRecord)
     except wire.WireError as error:
