--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
 """Runs the tests except for those listed in KNOWN-RED.txt.
 
-An entry is a block of lines ``test:``, ``command:``, ``seed:``, ``seen:`` and
-``issue:``; the entries left out are printed.
+An entry of the file is a block of lines ``test:``, ``command:``, ``seed:``,
+``seen:`` and ``issue:``.  The tests that were not run are printed at the end.
 """
 
 import sys
@@ -24,7 +24,7 @@
 
 
 def main() -> int:
-    """Run pytest, print the entries left out and return its exit status."""
+    """Run pytest, print the tests not run and return pytest's exit status."""
     known = entries(KNOWN_RED.read_text(encoding="utf-8"))
     args = sys.argv[1:]
     for entry in known:
--- a/tests/live.py
+++ b/tests/live.py
@@ -47,7 +47,7 @@
 
 
 def start_reactor_thread() -> None:
-    """Start the reactor in a thread, if it does not run yet."""
+    """Start the reactor in a thread unless it is running."""
     if not event_loop.reactor.running:
         logs.configure(LogsOptions(level="error"))
         threading.Thread(
@@ -194,7 +194,7 @@
 
 
 def base_commands() -> list[Command]:
-    """Return the commands that create the configuration, less targets."""
+    """Return the commands that create the configuration without targets."""
     return language.parse_commands(CONFIGURATION)
 
 
--- a/tests/platform_standin.py
+++ b/tests/platform_standin.py
@@ -16,7 +16,7 @@
 
 MODEL = "m"
 SEAL = "Sequoiawind-Server-Seal"
-# Longest wait of a read for a record, in seconds.
+# Longest time that a read waits for a record, in seconds.
 MAX_WAIT_S = 30.0
 
 
@@ -50,7 +50,7 @@
 
 @attrs.define(kw_only=True, eq=False)
 class StandIn:
-    """A server on a free port; a context manager."""
+    """A server on a free port; a context manager that starts and stops it."""
 
     server: ThreadingHTTPServer = attrs.field(init=False)
 
--- a/tests/test_forward_path.py
+++ b/tests/test_forward_path.py
@@ -1,4 +1,7 @@
-"""A router and an agent as processes; stand-ins of a store and two targets."""
+"""A forwarding router and agent as processes, with stand-ins on sockets.
+
+The stand-ins are a store and two targets; the agent belongs to the engine.
+"""
 
 import http.client
 import os
@@ -155,7 +158,7 @@
             self.assertEqual(value, ran[name])
         self.assertNotIn("authorization", ran)
 
-    def test_refused(self) -> None:
+    def test_unknown_routes_and_keys_are_refused(self) -> None:
         for target, key, expected in (
             ("/nowhere/x", "k1", 404),
             ("/read/x", "k2", 401),
@@ -165,13 +168,13 @@
             self.assertEqual(expected, status, target)
         self.assertEqual(1, len(self.app.ran))
 
-    def test_stream(self) -> None:
+    def test_stream_is_forwarded_whole(self) -> None:
         status, body, headers = self.submit("/brief/x", **PROMPT)
         self.assertEqual((200, 5), (status, body.count(b"\n\n")))
         self.assertEqual("s1", headers[SEAL])
         self.assertEqual("1", self.engine.ran[-1]["sequoiawind-expect-version"])
 
-    def test_new_weights(self) -> None:
+    def test_new_weights_are_ordered_once_and_used(self) -> None:
         named = {"model": "m", "version": 2}
         self.store.put("keyed.op", "version/m", named)
         self.wait_until(lambda: bool(self.engine.orders))
@@ -192,7 +195,7 @@
         self.assertNotEqual(before, ran["sequoiawind-cache-salt"])
         self.assertEqual(1, len(self.engine.orders))
 
-    def test_revoked_key(self) -> None:
+    def test_revoked_key_is_refused(self) -> None:
         self.assertEqual(200, self.submit("/read/x")[0])
         self.store.put("keyed.op", "config", configuration(9, key="k9"))
         self.wait_until(lambda: self.submit("/read/x")[0] == 401)
@@ -203,7 +206,7 @@
         self.wait_until(lambda: bool(self.engine.orders))
         self.assertEqual(401, self.submit("/read/x")[0])
 
-    def test_unavailable_store(self) -> None:
+    def test_only_public_routes_work_without_the_store(self) -> None:
         self.store.is_unavailable = True
         with self.store.changed:
             self.store.changed.notify_all()
--- a/tests/test_forward_processes.py
+++ b/tests/test_forward_processes.py
@@ -1,4 +1,4 @@
-"""The forwarding programs as processes: settings, signals, refusals."""
+"""The forwarding router as a process: settings, signals, refusals."""
 
 import http.client
 import json
@@ -100,7 +100,7 @@
         self.assertEqual("no_configuration", refused["reason"])
         self.assertEqual(200, self.get("metrics", "/metrics").status)
 
-    def test_settings_read_again(self) -> None:
+    def test_sighup_reads_the_settings_again(self) -> None:
         self.write(revoke=4000)
         self.process.send_signal(signal.SIGHUP)
         line = self.wait_for("settings read again")
@@ -117,7 +117,7 @@
         line = self.wait_for("settings read again")
         self.assertEqual(True, line["bounds_changed"])
 
-    def test_leaves_on_sigterm(self) -> None:
+    def test_exits_with_status_0_on_sigterm(self) -> None:
         self.process.send_signal(signal.SIGTERM)
         self.wait_for("stopped")
         deadline_s = time.monotonic() + WAIT_TIMEOUT_S
--- a/tests/test_http1_client.py
+++ b/tests/test_http1_client.py
@@ -24,7 +24,7 @@
     echo=ECHO,
 )
 FOREIGN = b"HTTP/1.1 200 OK\r\nx-id: q0\r\ncontent-length: 3\r\n\r\nold"
-OWN = b"HTTP/1.1 200 OK\r\nx-id: q1\r\ncontent-length: 3\r\n\r\nnew"
+MATCHING = b"HTTP/1.1 200 OK\r\nx-id: q1\r\ncontent-length: 3\r\n\r\nnew"
 OPEN_ENDED = b"HTTP/1.1 200 OK\r\nx-id: q1\r\n\r\nne"
 
 
@@ -77,35 +77,35 @@
             peer.sent(),
         )
 
-    def test_whole_answer_keeps_the_connection(self) -> None:
+    def test_connection_is_reused_after_a_whole_answer(self) -> None:
         peer, sink = self.call()
-        peer.protocol.dataReceived(OWN)
+        peer.protocol.dataReceived(MATCHING)
         self.assertTrue(sink.is_done)
         next_sink = RecordingSink()
         self.client.call("10.0.0.1:80", REQUEST, next_sink)
-        peer.protocol.dataReceived(OWN)
+        peer.protocol.dataReceived(MATCHING)
         self.assertEqual(1, len(self.reactor.tcpClients))
         self.assertEqual(b"new", next_sink.body)
 
     def test_answer_of_another_request_is_skipped(self) -> None:
-        for data in (FOREIGN + OWN, FOREIGN):
+        for data in (FOREIGN + MATCHING, FOREIGN):
             peer, sink = self.call()
             peer.protocol.dataReceived(data)
             if data == FOREIGN:
                 self.assertFalse(sink.is_done)
-                peer.protocol.dataReceived(OWN)
+                peer.protocol.dataReceived(MATCHING)
             self.assertEqual(b"new", sink.body)
             self.assertTrue(sink.is_done)
 
     def test_bytes_after_an_answer_close_the_connection(self) -> None:
         peer, sink = self.call()
-        peer.protocol.dataReceived(OWN + b"more")
+        peer.protocol.dataReceived(MATCHING + b"more")
         self.assertTrue(sink.is_done)
         self.assertTrue(peer.transport.is_aborted)
 
     def test_bytes_without_a_request_close_the_connection(self) -> None:
         peer, _ = self.call()
-        peer.protocol.dataReceived(OWN)
+        peer.protocol.dataReceived(MATCHING)
         peer.protocol.dataReceived(FOREIGN)
         self.assertTrue(peer.transport.is_aborted)
         self.assertEqual(None, self.client.pop_idle("10.0.0.1:80"))
@@ -116,7 +116,7 @@
         for data, reason, is_done in (
             (OPEN_ENDED, closed, True),
             (OPEN_ENDED, reset, False),
-            (OWN[:-1], closed, False),
+            (MATCHING[:-1], closed, False),
             (b"", closed, False),
             (b"not an answer\r\n\r\n", closed, False),
         ):
@@ -140,7 +140,7 @@
 
     def test_connection_idle_for_too_long_is_closed(self) -> None:
         peer, _ = self.call()
-        peer.protocol.dataReceived(OWN)
+        peer.protocol.dataReceived(MATCHING)
         self.reactor.advance(10.0)
         self.assertEqual(None, self.client.pop_idle("10.0.0.1:80"))
         self.assertTrue(peer.transport.is_aborted)
@@ -154,7 +154,7 @@
         peer.protocol.connectionLost(TwistedFailure(error.ConnectionLost()))
         self.assertEqual(None, sink.failure)
 
-    def test_keep_alive(self) -> None:
+    def test_keep_alive_time_is_the_stated_one_less_a_margin(self) -> None:
         for value, expected in (
             (b"timeout=5", 4.6),
             (b"timeout=5, max=10", 4.6),
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -18,11 +18,11 @@
         super().setUp()
         self.clock = Clock()
         self.clock.advance(100.0)
-        self.taken: list[tuple[HttpRequest, CallerConnection]] = []
+        self.received: list[tuple[HttpRequest, CallerConnection]] = []
         self.refused: list[Reason] = []
         self.site = CallerSite(
             clock=self.clock,
-            on_request=lambda request, caller: self.taken.append(
+            on_request=lambda request, caller: self.received.append(
                 (request, caller)
             ),
             limits=lambda: CallerLimits(
@@ -53,9 +53,9 @@
         ):
             for size in (1, len(data)):
                 connection, _ = self.connect()
-                for place in range(0, len(data), size):
-                    connection.dataReceived(data[place : place + size])
-                request, _ = self.taken[-1]
+                for offset in range(0, len(data), size):
+                    connection.dataReceived(data[offset : offset + size])
+                request, _ = self.received[-1]
                 self.assertEqual(target, request.target)
                 self.assertEqual(body, request.body)
 
@@ -81,9 +81,9 @@
             ),
         ):
             connection, transport = self.connect()
-            before = len(self.taken)
+            before = len(self.received)
             connection.dataReceived(data)
-            self.assertEqual(before, len(self.taken), data[:60])
+            self.assertEqual(before, len(self.received), data[:60])
             self.assertIn(status, transport.value()[:20], data[:60])
             self.assertTrue(transport.disconnecting)
 
@@ -101,10 +101,10 @@
     def test_pipelined_requests_are_answered_in_order(self) -> None:
         connection, transport = self.connect()
         connection.dataReceived(GET + GET.replace(b"/a", b"/b"))
-        self.assertEqual(1, len(self.taken))
+        self.assertEqual(1, len(self.received))
         connection.reply(200, [], b"one")
         self.clock.advance(0.0)
-        self.assertEqual(b"/b", self.taken[-1][0].target)
+        self.assertEqual(b"/b", self.received[-1][0].target)
         connection.reply(200, [], b"two")
         self.assertTrue(transport.value().endswith(b"two"))
 
@@ -121,10 +121,10 @@
     def test_disconnect_is_reported(self) -> None:
         connection, _ = self.connect()
         connection.dataReceived(GET)
-        gone: list[bool] = []
-        connection.on_disconnect = lambda: gone.append(True)
+        disconnects: list[bool] = []
+        connection.on_disconnect = lambda: disconnects.append(True)
         connection.connectionLost()
-        self.assertEqual([True], gone)
+        self.assertEqual([True], disconnects)
         # An answer after the disconnect is discarded.
         connection.reply(200, [], b"late")
 
--- a/tests/test_live_faults.py
+++ b/tests/test_live_faults.py
@@ -21,7 +21,7 @@
 
 
 class StreamTest(TestCase):
-    """A stream is completed after a fault in the middle of it."""
+    """Faults during a stream: it is completed, or ends with its caller."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -59,7 +59,7 @@
         expected = engine_model.expected_answer(PROMPT, TOKENS)
         self.assertEqual(expected, self.stream_with(fault))
 
-    def test_engine_crash(self) -> None:
+    def test_answer_is_complete_after_an_engine_crash(self) -> None:
         def crash() -> None:
             for engine in self.system.engines:
                 if engine.batch:
@@ -68,16 +68,16 @@
         self.check(crash)
         self.assertTrue(len(self.calls) >= 2)
 
-    def test_cut_between_router_and_agent(self) -> None:
+    def test_cut_between_router_and_agent_is_resumed(self) -> None:
         def cut() -> None:
             self.calls[-1].stream.receiver.abort()
 
         self.check(cut)
-        resumed = self.system.agents[0].metrics.events.labels("resumed")
-        again = self.system.agents[1].metrics.events.labels("resumed")
-        self.assertTrue(resumed._value.get() + again._value.get() >= 1)
+        first = self.system.agents[0].metrics.events.labels("resumed")
+        second = self.system.agents[1].metrics.events.labels("resumed")
+        self.assertTrue(first._value.get() + second._value.get() >= 1)
 
-    def test_caller_disconnects(self) -> None:
+    def test_caller_disconnect_stops_the_engine(self) -> None:
         client = openai.OpenAI(
             base_url=f"{self.system.url()}/v1", api_key=live.TOKEN
         )
@@ -96,7 +96,7 @@
 class SlowSenderTest(TestCase):
     """Stalled senders are disconnected; other callers are not affected."""
 
-    def test_stalled_body(self) -> None:
+    def test_stalled_bodies_time_out_and_delay_no_other_caller(self) -> None:
         system = live.shared()
         host, port = system.url().removeprefix("http://").split(":")
         with mock.patch.object(defaults, "BODY_TIMEOUT_S", 0.3):
@@ -140,9 +140,9 @@
 
 
 class HalfOpenTest(TestCase):
-    """A connection on which no data arrives is closed."""
+    """A connection on which no more data arrives is closed."""
 
-    def test_silent_connection(self) -> None:
+    def test_unfinished_head_times_out(self) -> None:
         live.start_reactor_thread()
         with mock.patch.object(defaults, "IDLE_TIMEOUT_S", 0.3):
             port = live.in_reactor(
--- a/tests/test_log_pipe.py
+++ b/tests/test_log_pipe.py
@@ -44,7 +44,7 @@
 class PipeTest(TestCase):
     """Lines are dropped if the reader stops; the writer is not blocked."""
 
-    def test_reader_stops(self) -> None:
+    def test_stopped_reader_gets_whole_lines_only(self) -> None:
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
@@ -60,7 +60,7 @@
         lines = kept.split(b"\n")
         self.assertEqual({b"x" * 99}, set(lines[:-2]))
 
-    def test_closed_reader(self) -> None:
+    def test_closed_pipe_raises_no_error(self) -> None:
         reader, writer = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, writer)
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -59,7 +59,7 @@
         answer: bytes = transport.value()
         return answer
 
-    def test_answers(self) -> None:
+    def test_statuses_and_metrics(self) -> None:
         for line, status in (
             (b"GET /metrics", b"HTTP/1.1 200"),
             (b"GET /metrics?x=1", b"HTTP/1.1 200"),
@@ -79,7 +79,7 @@
         self.waiting.callback(b"now")
         self.assertTrue(transport.value().endswith(b"now"))
 
-    def test_client_disconnects_before_the_body(self) -> None:
+    def test_nothing_is_sent_after_a_disconnect(self) -> None:
         transport, site = self.connect()
         request = b"GET /slow HTTP/1.1\r\nHost: h\r\n\r\n"
         self.protocol.dataReceived(request)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -216,16 +216,16 @@
         self.assertEqual(b"v", page.records[0].value)
         self.assertEqual((6, True), (page.end, page.has_more))
 
-    def test_statuses(self) -> None:
-        gone = self.answer("read", self.reply(b"{}", 410))
-        self.assertIsInstance(gone.error, RecordsLost)
+    def test_error_statuses(self) -> None:
+        deleted = self.answer("read", self.reply(b"{}", 410))
+        self.assertIsInstance(deleted.error, RecordsLost)
         for status in (429, 500, 503):
             result = self.answer("read", self.reply(b"", status))
             self.assertIsInstance(result.error, Failure)
 
 
 class RequestTest(TestCase):
-    """Callers' requests, and the requests that targets get for them."""
+    """Decoding of callers' requests, and encoding of those to targets."""
 
     def decode(self, *headers: tuple[bytes, bytes]) -> Any:
         return callers.decode_request(
@@ -299,8 +299,8 @@
             (b"x-end", b"kept"),
             (b"last-event-id", b"4"),
         )
-        for word in (b"forged", b"secret"):
-            self.assertNotIn(word, sent)
+        for value in (b"forged", b"secret"):
+            self.assertNotIn(value, sent)
         for line in (
             b"POST /a/b?c=d HTTP/1.1",
             b"sequoiawind-tenant: t",
@@ -356,7 +356,7 @@
 
 
 class MoveTest(TestCase):
-    """Orders to move the memory of a run to another target."""
+    """Orders to move a run's memory, and their answers."""
 
     def move(self, reply: bytes) -> Any:
         reactor = MemoryReactorClock()
@@ -397,7 +397,7 @@
             {"id": "q1", "to": "10.0.0.2:80", "last": True}, json.loads(sent)
         )
 
-    def test_drop_of_a_moved_run(self) -> None:
+    def test_release_of_a_moved_run(self) -> None:
         reactor = MemoryReactorClock()
         engine.EngineClient(
             client=Http1Client(reactor=reactor)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,7 +1,8 @@
 """Processes that are killed, suspended or terminated under load.
 
-The plain service's stand-in counts executions.  No check depends on timing:
-each waits for a condition, with a bounded number of tries.
+The stand-in of the plain service counts how often each key was executed.  No
+check depends on timing: each waits for a condition, with a bounded number of
+tries.
 """
 
 import json
@@ -51,7 +52,10 @@
 
 
 class ProcessTest(TestCase):
-    """Two routers, two agents, one plain service, one engine, one log."""
+    """Two routers, two agents, one plain service, one engine, one log.
+
+    The agents are `ap` for the plain service and `ae` for the engine.
+    """
 
     def setUp(self) -> None:
         super().setUp()
