--- a/sequoiawind/forward_agent_program.py
+++ b/sequoiawind/forward_agent_program.py
@@ -80,8 +80,8 @@
     async def status_body(self, request: HttpRequest) -> bytes:
         """Return the target's status, encoded.
 
-        The answer waits up to `STATUS_WAIT_S` for a status that is newer than
-        the number `after` in the query.
+        Waits up to `STATUS_WAIT_S` for a status with a higher number than
+        `after` in the query.
         """
         query = request.target.partition(b"?")[2].decode("latin-1")
         arguments = dict(parse_qsl(query))
--- a/sequoiawind/http1_server.py
+++ b/sequoiawind/http1_server.py
@@ -231,7 +231,7 @@
 
     def next_request(self) -> None:
         """Wait for the next request, and parse what has arrived of it."""
-        ahead, _ = self.http.trailing_data
+        pipelined, _ = self.http.trailing_data
         try:
             self.http.start_next_cycle()
         except h11.LocalProtocolError:
@@ -239,7 +239,7 @@
             return
         self.transport.resumeProducing()
         self.wait_idle()
-        if ahead:
+        if pipelined:
             self.site.clock.callLater(0, self.parse_pipelined)
 
     # Time-outs and refusals.
--- a/sequoiawind/http_client.py
+++ b/sequoiawind/http_client.py
@@ -98,7 +98,7 @@
 
 
 def error_of(status: int, content: bytes) -> Failure:
-    """Return the failure that an error reply carries or stands for."""
+    """Return the failure in an error reply, or else one with its text."""
     try:
         return wire.decode(content, Failure)
     except wire.WireError:
--- a/sequoiawind/log_pipe.py
+++ b/sequoiawind/log_pipe.py
@@ -71,7 +71,7 @@
         """Write a line, and keep the part that the pipe has no room for.
 
         Returns:
-          The number of characters taken; 0 if the line was dropped.
+          The number of characters accepted; 0 if the line was dropped.
         """
         if len(self.unwritten) > MAX_UNWRITTEN_BYTES:
             self.flush()
--- a/sequoiawind/platform/engine.py
+++ b/sequoiawind/platform/engine.py
@@ -160,7 +160,7 @@
     ) -> Result[CacheChanges, Failure]:
         """Return the changes of a cache from number `since` on.
 
-        If there are none yet, the cache waits `wait_s` seconds for a first one.
+        If there are none yet, the cache waits up to `wait_s` seconds for one.
         """
         request = OutgoingRequest(
             method=b"GET",
--- a/sequoiawind/platform/store.py
+++ b/sequoiawind/platform/store.py
@@ -32,7 +32,7 @@
 PARTITION: Final = "0"
 # Status of the store if the requested records have been deleted.
 GONE: Final = 410
-# Length of a record in the body of a read, before the record.
+# Length prefix of each record in the body of a read.
 LENGTH: Final = struct.Struct(">I")
 # End and first offset of the partition, at the start of the body of a read.
 END_AND_FIRST: Final = struct.Struct(">QQ")
@@ -96,7 +96,7 @@
     ) -> Result[KeyedPage, ReadFailure]:
         """Return the records from an offset on.
 
-        If there are none yet, the store waits `wait_s` seconds for a first one.
+        If there are none yet, the store waits up to `wait_s` seconds for one.
         """
         query = {
             "topic": topic,
--- a/sequoiawind/router_http.py
+++ b/sequoiawind/router_http.py
@@ -190,7 +190,9 @@
         if fault:
             failure = not_run(Reason.BAD_REQUEST, fault)
             return self.refuse(request, failure)
-        kept = {name: value for name, value in body.items() if name != "prompt"}
+        fields = {
+            name: value for name, value in body.items() if name != "prompt"
+        }
         caller_request = CallerRequest(
             request_id=self.new_request_id(request),
             token=http_server.bearer_token(request),
@@ -198,7 +200,7 @@
             model=body["model"],
             prompt=openai_format.prompt_of(path, body) or "",
             max_tokens=wanted_tokens(body),
-            body=openai_format.encode(kept).decode(),
+            body=openai_format.encode(fields).decode(),
             idempotency_key=request.getHeader(
                 http_server.IDEMPOTENCY_KEY_HEADER
             ),
--- a/sequoiawind/settings.py
+++ b/sequoiawind/settings.py
@@ -1,6 +1,6 @@
 """Reading and checking settings files.
 
-All faults of a file are found before the daemon opens a port; each fault names
+A file is checked as a whole before the daemon opens a port; each fault names
 the file, the key path and what was expected there.
 """
 
--- a/sequoiawind/timing.py
+++ b/sequoiawind/timing.py
@@ -21,7 +21,7 @@
 def with_timeout(
     waiting: Deferred[T], timeout_s: float, clock: Clock
 ) -> Deferred[T]:
-    """Return a Deferred, to be cancelled if it does not fire in time.
+    """Set a time-out after which a Deferred is cancelled, and return it.
 
     Raises:
       twisted.internet.defer.TimeoutError: through the Deferred, on timeout.
--- a/sequoiawind/wire.py
+++ b/sequoiawind/wire.py
@@ -97,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class Probe:
-    """Asks an agent how soon a request could start, before placing it."""
+    """Queries an agent for how soon a request could start on its target."""
 
     target: str
     account: str
--- a/tests/test_log_pipe.py
+++ b/tests/test_log_pipe.py
@@ -53,11 +53,11 @@
         for _ in range(5_000):
             pipe.write("x" * 99 + "\n")
         self.assertTrue(pipe.lost > 0)
-        kept = os.read(reader, 1 << 20)
+        received = os.read(reader, 1 << 20)
         pipe.write("last\n")
-        kept += os.read(reader, 1 << 20)
+        received += os.read(reader, 1 << 20)
         # Only whole lines are written, in order.
-        lines = kept.split(b"\n")
+        lines = received.split(b"\n")
         self.assertEqual({b"x" * 99}, set(lines[:-2]))
 
     def test_closed_pipe_raises_no_error(self) -> None:
