--- a/sequoiawind/forward_ports.py
+++ b/sequoiawind/forward_ports.py
@@ -106,6 +106,7 @@
     """A prompt part of which a cache now holds more or fewer tokens."""
 
     salt: str
+    # Id of the part, and its tokens that the cache holds now.
     part: str
     tokens: int
 
@@ -129,7 +130,7 @@
     async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheChanges, Failure]:
-        """Return the changes since a number, waiting for a first one."""
+        """Return the changes since a number, waiting up to `wait_s` for one."""
 
 
 class ForwardCaller(Protocol):
--- a/sequoiawind/lab/load_main.py
+++ b/sequoiawind/lab/load_main.py
@@ -123,7 +123,7 @@
     """
     missed = 0
     for mutant in (*mutants.MUTANTS, *forward_mutants.MUTANTS):
-        seed, violation = mutants.hunt(mutant)
+        seed, violation = mutants.find_violation(mutant)
         if seed < 0:
             missed += 1
             print(f"NOT FOUND: {mutant.name}")
@@ -149,9 +149,9 @@
         routers=args.router,
         model=args.model,
     )
-    finished = run_in_reactor(load.run(prompts))
-    print("\n".join(finished.lines()))
-    return 1 if finished.wrong else 0
+    results = run_in_reactor(load.run(prompts))
+    print("\n".join(results.lines()))
+    return 1 if results.wrong else 0
 
 
 def run_in_reactor(coroutine: Any) -> Any:
--- a/sequoiawind/log_pipe.py
+++ b/sequoiawind/log_pipe.py
@@ -28,6 +28,7 @@
     """Rate limiter of log lines (token bucket); a `structlog` processor."""
 
     now: Callable[[], float] = time.monotonic
+    # Lines that may be written now; grows with time up to the largest burst.
     available: float = BURST_LINES
     updated_s: float = 0.0
     # Lines left out since the last one that was written.
@@ -70,7 +71,7 @@
         """Write a line, and keep the part that the pipe has no room for.
 
         Returns:
-          The number of characters taken; 0 if the line was dropped.
+          The number of characters accepted; 0 if the line was dropped.
         """
         if len(self.unwritten) > MAX_UNWRITTEN_BYTES:
             self.flush()
--- a/sequoiawind/platform/engine.py
+++ b/sequoiawind/platform/engine.py
@@ -33,7 +33,7 @@
 TOO_MANY_WATCHERS: Final = 429
 # Timeout for freeing the memory of a run, in seconds: a round trip and some
 # waiting.
-DROP_TIMEOUT_S: Final = 0.5
+RELEASE_TIMEOUT_S: Final = 0.5
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -56,7 +56,7 @@
         )
 
     def versions(self, found: Mapping[bytes, bytes]) -> dict[str, int]:
-        """Return the weights version that an answer names."""
+        """Return the weights version of the model; empty if not stated."""
         text = found.get(names.WEIGHT_VERSIONS, b"").strip()
         return {self.model: int(text)} if text.isdigit() else {}
 
@@ -84,7 +84,7 @@
         request = order.request
         outgoing = OutgoingRequest(
             method=request.method,
-            target=request.target,
+            request_target=request.request_target,
             headers=engine_wire.request_headers(order),
             body=request.body,
             echo=(names.ATTEMPT_ID, request.request_id.encode("latin-1")),
@@ -103,7 +103,7 @@
         )
         request = OutgoingRequest(
             method=b"POST",
-            target=names.MOVE_TARGET,
+            request_target=names.MOVE_TARGET,
             headers=[
                 (b"host", address.encode()),
                 (b"content-type", b"application/json"),
@@ -128,11 +128,11 @@
         address, _, handle = moved_from.partition("/")
         request = OutgoingRequest(
             method=b"DELETE",
-            target=names.MOVED_TARGET + handle.encode(),
+            request_target=names.MOVED_TARGET + handle.encode(),
             headers=[(b"host", address.encode())],
         )
         # The target frees it by itself if this fails.
-        fetch(self.client, address, request, DROP_TIMEOUT_S)
+        fetch(self.client, address, request, RELEASE_TIMEOUT_S)
 
     async def report(
         self, address: str, timeout_s: float
@@ -140,7 +140,7 @@
         """Return a target's report of its state."""
         request = OutgoingRequest(
             method=b"GET",
-            target=names.REPORT_TARGET,
+            request_target=names.REPORT_TARGET,
             headers=[(b"host", address.encode())],
         )
         answered = await fetch(self.client, address, request, timeout_s)
@@ -158,10 +158,13 @@
     async def cache_changes(
         self, address: str, since: int, wait_s: float, timeout_s: float
     ) -> Result[CacheChanges, Failure]:
-        """Return the changes of a cache, waiting for a first one."""
+        """Return the changes of a cache from number `since` on.
+
+        If there are none yet, the cache waits up to `wait_s` seconds for one.
+        """
         request = OutgoingRequest(
             method=b"GET",
-            target=b"%s?since=%d" % (names.CACHE_EVENTS_TARGET, since),
+            request_target=b"%s?since=%d" % (names.CACHE_EVENTS_TARGET, since),
             headers=[
                 (b"host", address.encode()),
                 (names.WAIT_MS, b"%d" % int(wait_s * 1000)),
@@ -196,7 +199,7 @@
         )
         request = OutgoingRequest(
             method=b"POST",
-            target=names.ORDER_TARGET,
+            request_target=names.ORDER_TARGET,
             headers=[
                 (b"host", address.encode()),
                 (b"content-type", b"application/json"),
--- a/sequoiawind/reports.py
+++ b/sequoiawind/reports.py
@@ -44,7 +44,7 @@
 
 
 def agent_target_row(agent: Agent) -> Row:
-    """Return an agent's row of its target."""
+    """Return the row of an agent's target."""
     state = "running" if agent.queue.running else "warm"
     if agent.drain_reason:
         state = "draining"
@@ -86,7 +86,7 @@
 
 
 def request_row(note: RequestNote, router: str, now_s: float) -> Row:
-    """Return a router's row of a request."""
+    """Return the row of a request that a router has handled."""
     end_s = note.ended_s if note.ended_s >= 0.0 else now_s
     first_s = -1.0
     if note.first_chunk_s >= 0.0:
@@ -100,8 +100,8 @@
         "state": note.state,
         "verdict": note.verdict,
         "reason": note.reason,
-        "targets": ",".join(note.path),
-        "attempts": len(note.path),
+        "targets": ",".join(note.targets_tried),
+        "attempts": len(note.targets_tried),
         "depth_blocks": note.depth_blocks,
         "holders": note.holders,
         "prompt_tokens": note.prompt_tokens,
--- a/tests/test_log_pipe.py
+++ b/tests/test_log_pipe.py
@@ -44,7 +44,7 @@
 class PipeTest(TestCase):
     """Lines are dropped if the reader stops; the writer is not blocked."""
 
-    def test_reader_stops(self) -> None:
+    def test_stopped_reader_gets_whole_lines_only(self) -> None:
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
@@ -53,14 +53,14 @@
         for _ in range(5_000):
             pipe.write("x" * 99 + "\n")
         self.assertTrue(pipe.lost > 0)
-        kept = os.read(reader, 1 << 20)
+        received = os.read(reader, 1 << 20)
         pipe.write("last\n")
-        kept += os.read(reader, 1 << 20)
+        received += os.read(reader, 1 << 20)
         # Only whole lines are written, in order.
-        lines = kept.split(b"\n")
+        lines = received.split(b"\n")
         self.assertEqual({b"x" * 99}, set(lines[:-2]))
 
-    def test_closed_reader(self) -> None:
+    def test_closed_pipe_raises_no_error(self) -> None:
         reader, writer = os.pipe()
         os.close(reader)
         self.addCleanup(os.close, writer)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -178,7 +178,7 @@
         results: list[Any] = []
         Deferred.fromCoroutine(pending).addCallback(results.append)
         peer = accept(reactor)
-        self.request = peer.sent()
+        self.request = peer.take_sent()
         peer.protocol.dataReceived(reply)
         return results[0]
 
@@ -216,22 +216,22 @@
         self.assertEqual(b"v", page.records[0].value)
         self.assertEqual((6, True), (page.end, page.has_more))
 
-    def test_statuses(self) -> None:
-        gone = self.answer("read", self.reply(b"{}", 410))
-        self.assertIsInstance(gone.error, RecordsLost)
+    def test_error_statuses(self) -> None:
+        deleted = self.answer("read", self.reply(b"{}", 410))
+        self.assertIsInstance(deleted.error, RecordsLost)
         for status in (429, 500, 503):
             result = self.answer("read", self.reply(b"", status))
             self.assertIsInstance(result.error, Failure)
 
 
 class RequestTest(TestCase):
-    """Callers' requests, and the requests that targets get for them."""
+    """Decoding of callers' requests, and encoding of those to targets."""
 
     def decode(self, *headers: tuple[bytes, bytes]) -> Any:
         return callers.decode_request(
             HttpRequest(
                 method=b"POST",
-                target=b"/a/b?c=d",
+                request_target=b"/a/b?c=d",
                 headers=[(b"host", b"H.example:80"), *headers],
                 body=b"body",
                 arrived_s=1.0,
@@ -282,7 +282,7 @@
             **fields,
         )
         client.send(order, IgnoringSink())
-        return accept(reactor).sent()
+        return accept(reactor).take_sent()
 
     def test_only_the_system_sets_its_headers(self) -> None:
         sent = self.sent(
@@ -299,8 +299,8 @@
             (b"x-end", b"kept"),
             (b"last-event-id", b"4"),
         )
-        for word in (b"forged", b"secret"):
-            self.assertNotIn(word, sent)
+        for value in (b"forged", b"secret"):
+            self.assertNotIn(value, sent)
         for line in (
             b"POST /a/b?c=d HTTP/1.1",
             b"sequoiawind-tenant: t",
@@ -356,7 +356,7 @@
 
 
 class MoveTest(TestCase):
-    """Orders to move the memory of a run to another target."""
+    """Orders to move a run's memory, and their answers."""
 
     def move(self, reply: bytes) -> Any:
         reactor = MemoryReactorClock()
@@ -370,7 +370,7 @@
         pending = client.move(order, 1.0)
         Deferred.fromCoroutine(pending).addCallback(results.append)
         peer = accept(reactor)
-        self.request = peer.sent()
+        self.request = peer.take_sent()
         peer.protocol.dataReceived(reply)
         return results[0]
 
@@ -397,12 +397,12 @@
             {"id": "q1", "to": "10.0.0.2:80", "last": True}, json.loads(sent)
         )
 
-    def test_drop_of_a_moved_run(self) -> None:
+    def test_release_of_a_moved_run(self) -> None:
         reactor = MemoryReactorClock()
         engine.EngineClient(
             client=Http1Client(reactor=reactor)
         ).release_moved_run("10.0.0.1:80/h7")
-        sent = accept(reactor).sent()
+        sent = accept(reactor).take_sent()
         self.assertTrue(sent.startswith(b"DELETE /api/kv-handle/h7 HTTP/1.1"))
 
 
