--- a/sequoiawind/agent_http.py
+++ b/sequoiawind/agent_http.py
@@ -96,7 +96,7 @@
             )
         request.setHeader("Content-Type", sse.CONTENT_TYPE)
         sink = ResponseSink(request=request)
-        done = http_server.ended(request)
+        done = http_server.when_finished(request)
         call = self.agent.open("", attempt, sink)
         done.addCallback(lambda _: sink.connection_lost(call))
         return done
@@ -151,7 +151,7 @@
 
     def ready(self, request: server.Request) -> bytes:
         """Answer whether the agent accepts new work."""
-        if self.agent.draining or not self.board.phase.is_ready:
+        if self.agent.drain_reason or not self.board.phase.is_ready:
             request.setResponseCode(http.SERVICE_UNAVAILABLE)
             return b"not ready\n"
         return b"ready\n"
--- a/sequoiawind/limits.py
+++ b/sequoiawind/limits.py
@@ -31,9 +31,9 @@
     # When `tokens` was last updated, in seconds.
     updated_s: float
     open_requests: int = 0
-    # Requests seen since the last exchange, admitted or not.
+    # Requests seen in the current period, admitted or not.
     seen: int = 0
-    # Requests a second, averaged over exchanges.
+    # Requests a second, averaged over periods.
     demand: float = 0.0
     # The account's limit, in requests a second.
     rate_per_s: float = 0.0
@@ -137,7 +137,7 @@
             total += peer.demand.get(account, 0.0)
         return total
 
-    def exchange(self) -> dict[str, float]:
+    def end_period(self) -> dict[str, float]:
         """End a period; return the demand by account to send to peers."""
         reported: dict[str, float] = {}
         for name, usage in list(self.usage.items()):
@@ -149,7 +149,7 @@
             if usage.demand < MIN_TRACKED_DEMAND and not usage.open_requests:
                 del self.usage[name]
         hottest = sorted(reported, key=reported.__getitem__, reverse=True)
-        kept = hottest[: defaults.MAX_TOLD_ACCOUNTS]
+        kept = hottest[: defaults.MAX_REPORTED_ACCOUNTS]
         return {name: reported[name] for name in kept}
 
     def report_threshold(self, usage: AccountUsage) -> float:
@@ -159,9 +159,9 @@
         more than it helps.
         """
         equal = usage.rate_per_s / max(1, self.routers)
-        return equal * defaults.TOLD_DEMAND_SHARE
+        return equal * defaults.MIN_REPORTED_DEMAND_SHARE
 
-    def hear(
+    def record_peer_demand(
         self, router: str, demand: Mapping[str, float], now_s: float
     ) -> None:
         """Store the demand that another router has sent."""
--- a/sequoiawind/peers.py
+++ b/sequoiawind/peers.py
@@ -48,7 +48,7 @@
 
 
 @attrs.define(kw_only=True)
-class ConfigSeeker:
+class ConfigFetcher:
     """Controller that gets a first configuration from any peer."""
 
     peers: PeerClient
@@ -74,7 +74,7 @@
 
 
 @attrs.define(kw_only=True)
-class DemandTeller:
+class DemandSender:
     """Controller that sends the demand by account to the other routers."""
 
     name: str
@@ -88,7 +88,7 @@
         self.board.limits.period_s = self.period_s()
         while True:
             await timing.sleep(self.clock, self.board.limits.period_s)
-            demand = self.board.limits.exchange()
+            demand = self.board.limits.end_period()
             message = DemandMessage(router=self.name, demand=demand)
             for address in self.addresses:
                 Deferred.fromCoroutine(self.peers.send_demand(address, message))
--- a/sequoiawind/query.py
+++ b/sequoiawind/query.py
@@ -105,7 +105,7 @@
     reported = rows_by_name(reports, "targets")
     rows: list[Row] = []
     for target in state.targets.values():
-        health = members.of(target.name)
+        health = members.health_of(target.name)
         agent_row = reported.get(target.name, {})
         state_name = members.state_of(target, now_s).value
         if state_name in ("warm", "running") and agent_row:
@@ -242,7 +242,7 @@
     return (1, 0.0, value)
 
 
-def as_table(answer: Answer) -> str:
+def format_answer(answer: Answer) -> str:
     """Return an answer as text; the last line states what it covers."""
     lines: list[str] = []
     if answer.message:
--- a/sequoiawind/router_http.py
+++ b/sequoiawind/router_http.py
@@ -23,7 +23,7 @@
 from sequoiawind.metrics import RouterMetrics
 from sequoiawind.plan import CallerRequest
 from sequoiawind.ports import Clock
-from sequoiawind.router import Handling, Router
+from sequoiawind.router import ActiveRequest, Router
 from sequoiawind.verdict import Failure, Reason, Verdict, not_run
 from sequoiawind.wire import Ended
 
@@ -38,7 +38,7 @@
     request_id: str
     path: str
     is_streamed: bool
-    handling: Handling | None = None
+    active_request: ActiveRequest | None = None
     chunks: list[bytes] = attrs.field(factory=list)
     has_begun: bool = False
     is_over: bool = False
@@ -98,7 +98,7 @@
         self.request.setResponseCode(status)
         self.request.setHeader("Content-Type", content_type)
         self.request.setHeader(http_server.REQUEST_ID_HEADER, self.request_id)
-        exchange = self.handling.exchange if self.handling else None
+        exchange = self.active_request.exchange if self.active_request else None
         if exchange is not None:
             attempts = str(exchange.attempts)
             self.request.setHeader(http_server.ATTEMPTS_HEADER, attempts)
@@ -110,8 +110,8 @@
         if self.is_over:
             return
         self.is_over = True
-        if self.handling is not None:
-            self.handling.cancel()
+        if self.active_request is not None:
+            self.active_request.cancel()
 
 
 @attrs.define(kw_only=True)
@@ -194,7 +194,9 @@
             prompt=openai_format.prompt_of(path, body) or "",
             max_tokens=wanted_tokens(body),
             body=openai_format.encode(kept).decode(),
-            idempotency_key=request.getHeader(http_server.KEY_HEADER),
+            idempotency_key=request.getHeader(
+                http_server.IDEMPOTENCY_KEY_HEADER
+            ),
         )
         return self.submit(request, caller_request, bool(body.get("stream")))
 
@@ -212,7 +214,9 @@
             method=request.method.decode("ascii", "replace"),
             content_type=http_server.header(request, "Content-Type"),
             body=body,
-            idempotency_key=request.getHeader(http_server.KEY_HEADER),
+            idempotency_key=request.getHeader(
+                http_server.IDEMPOTENCY_KEY_HEADER
+            ),
         )
         return self.submit(request, caller_request, is_streamed=False)
 
@@ -229,13 +233,13 @@
             path=caller_request.path,
             is_streamed=is_streamed,
         )
-        done = http_server.ended(request)
+        done = http_server.when_finished(request)
         done.addCallback(lambda _: caller.connection_lost())
         result = self.router.submit(caller_request, caller)
         if result.is_error():
             caller.ended(Ended(failure=result.error))
             return done
-        caller.handling = result.ok
+        caller.active_request = result.ok
         return done
 
     def statement(self, request: server.Request) -> Deferred[bytes] | bytes:
@@ -293,7 +297,7 @@
             )
         except wire.WireError:
             return http_server.json_reply(request, b"{}", http.BAD_REQUEST)
-        self.board.limits.hear(
+        self.board.limits.record_peer_demand(
             message.router, message.demand, self.clock.seconds()
         )
         return http_server.json_reply(request, b"{}")
--- a/sequoiawind/router_program.py
+++ b/sequoiawind/router_program.py
@@ -24,15 +24,15 @@
 from sequoiawind.blackboard import Blackboard, RequestNote
 from sequoiawind.claimant import Claimant
 from sequoiawind.config_follower import ConfigFollower
-from sequoiawind.exchange import Surroundings
+from sequoiawind.exchange import ExchangeContext
 from sequoiawind.http_client import JsonClient
 from sequoiawind.http_ports import AgentPort, LogHttpPort
 from sequoiawind.limits import AccountLimits
 from sequoiawind.metrics import RouterMetrics
 from sequoiawind.options import RouterSettings
 from sequoiawind.peers import (
-    ConfigSeeker,
-    DemandTeller,
+    ConfigFetcher,
+    DemandSender,
     PeerClient,
     VmListWatcher,
 )
@@ -95,7 +95,7 @@
     def make_router(self) -> Router:
         """Return the component that decides about requests."""
         port = AgentPort(client=self.client, secret=self.options.peers.secret)
-        around = Surroundings(
+        exchange_context = ExchangeContext(
             clock=event_loop.reactor,
             random=self.random,
             port=port,
@@ -105,7 +105,7 @@
         )
         return Router(
             board=self.board,
-            around=around,
+            exchange_context=exchange_context,
             placer=ProbingPlacer(
                 board=self.board, clock=event_loop.reactor, port=port
             ),
@@ -137,7 +137,7 @@
             follower=self.follower,
             claimant=self.claimant,
             clock=event_loop.reactor,
-            ask=self.peers.report,
+            request_report=self.peers.report,
             routers=[str(peer) for peer in self.options.peers.routers],
         )
         return RouterHttp(
@@ -165,7 +165,7 @@
         Args:
           on_ready: Called once the router has a configuration.
         """
-        seeker = ConfigSeeker(
+        fetcher = ConfigFetcher(
             peers=self.peers,
             board=self.board,
             clock=event_loop.reactor,
@@ -175,14 +175,14 @@
             ],
             on_found=on_ready,
         )
-        publisher = DemandTeller(
+        sender = DemandSender(
             name=self.options.router.name,
             peers=self.peers,
             board=self.board,
             clock=event_loop.reactor,
             addresses=self.options.peers.routers,
         )
-        controllers = [self.follower.run(), seeker.run(), publisher.run()]
+        controllers = [self.follower.run(), fetcher.run(), sender.run()]
         watcher = self.make_watcher()
         if watcher is not None:
             controllers.append(watcher.run())
--- a/tests/test_http1_server.py
+++ b/tests/test_http1_server.py
@@ -113,7 +113,7 @@
         connection.dataReceived(GET)
         connection.send_head(200, [])
         connection.send_data(b"part")
-        connection.break_off()
+        connection.abort_answer()
         self.assertIn(b"chunked", transport.value().lower())
         self.assertNotIn(b"0\r\n\r\n", transport.value())
         self.assertTrue(transport.disconnecting)
@@ -122,7 +122,7 @@
         connection, _ = self.connect()
         connection.dataReceived(GET)
         gone: list[bool] = []
-        connection.on_gone = lambda: gone.append(True)
+        connection.on_disconnect = lambda: gone.append(True)
         connection.connectionLost()
         self.assertEqual([True], gone)
         # An answer after the disconnect is discarded.
--- a/tests/test_stream_move.py
+++ b/tests/test_stream_move.py
@@ -50,7 +50,7 @@
     def load(self, name: str, **fields: Any) -> None:
         """Let a target's agent report that the target will load."""
         now_s = self.rig.clock.seconds()
-        self.rig.fleet.heard(name, LOADING, now_s)
+        self.rig.fleet.record_status(name, LOADING, now_s)
         self.rig.forwarder.status_changed(name)
 
     def answer(self, moved_from: str = "ip:1/h") -> None:
@@ -126,7 +126,7 @@
             self.go_on(3)
             self.assertEqual(events(1, 2, 3), caller.body)
 
-    def test_stream_refused_by_the_goal_is_resumed(self) -> None:
+    def test_stream_refused_by_the_destination_is_resumed(self) -> None:
         caller = self.begin()
         self.answer()
         self.first.sink.failed(LOST)
