--- a/sequoiawind/lab/forward_faults.py
+++ b/sequoiawind/lab/forward_faults.py
@@ -51,7 +51,7 @@
         return self.soak.rng.choice(up)
 
     def crash_target(self) -> None:
-        """Crash a target; it restarts at its address, maybe renamed."""
+        """Crash a target; another starts there, with the same or a new name."""
         target = self.random_target()
         target.crash()
         name = target.entry.name
@@ -100,6 +100,7 @@
         if not router.node.is_up:
             return
         for forwarding in list(router.forwarder.open):
+            # The connections of a killed router break, which stops its runs.
             if forwarding.current is not None and forwarding.current.call:
                 forwarding.current.call.cancel()
         router.node.kill()
@@ -146,8 +147,8 @@
 
     # The store and the operator.
 
-    def turn_away(self) -> None:
-        """Make the store refuse some or all processes for a while."""
+    def refuse_reads(self) -> None:
+        """Make the store refuse reads of some or all processes for a while."""
         soak, world = self.soak, self.soak.world
         names = [item.node.name for item in soak.processes.routers.values()]
         names += [item.node.name for item in soak.processes.agents.values()]
@@ -160,7 +161,7 @@
 
         soak.clock.callLater(self.random_delay_s(1.0, 9.0), end)
 
-    def forget_history(self) -> None:
+    def lose_records(self) -> None:
         """Make the store report all but the newest records as deleted."""
         world = self.soak.world
         world.has_lost_records = True
@@ -180,7 +181,7 @@
         soak.write_config()
         soak.world.revoked_s[key] = soak.clock.seconds()
 
-    def revoke_while_away(self) -> None:
+    def revoke_while_refused(self) -> None:
         """Revoke a key while a router cannot read the store."""
         name = self.soak.rng.choice(sorted(self.soak.processes.routers))
         world = self.soak.world
@@ -198,7 +199,7 @@
 
     # Fault rates.
 
-    def bad_luck(self) -> None:
+    def raise_fault_rates(self) -> None:
         """Raise the rates of lost, hung and failed answers and late orders."""
         world = self.soak.world
         world.fault_rates = FaultRates(
@@ -222,12 +223,12 @@
     "kill_router",
     "kill_agent",
     "pause_process",
-    "turn_away",
-    "forget_history",
+    "refuse_reads",
+    "lose_records",
     "revoke_key",
-    "revoke_while_away",
+    "revoke_while_refused",
     "change_config",
     "name_weights",
     "name_weights",
-    "bad_luck",
+    "raise_fault_rates",
 )
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -25,7 +25,7 @@
         """Do nothing."""
 
     def getHandle(self) -> FakeSocket:
-        """Return a socket."""
+        """Return a socket on which options can be set."""
         return FakeSocket()
 
     def abortConnection(self) -> None:
@@ -41,7 +41,7 @@
     protocol: Any
     transport: FakeTransport
 
-    def sent(self) -> bytes:
+    def take_sent(self) -> bytes:
         """Return the bytes that the code has sent since the last call."""
         data: bytes = self.transport.value()
         self.transport.clear()
--- a/tests/test_forward_processes.py
+++ b/tests/test_forward_processes.py
@@ -1,4 +1,4 @@
-"""The forwarding programs as processes: settings, signals, refusals."""
+"""The forwarding router as a process: settings, signals, refusals."""
 
 import http.client
 import json
@@ -100,24 +100,24 @@
         self.assertEqual("no_configuration", refused["reason"])
         self.assertEqual(200, self.get("metrics", "/metrics").status)
 
-    def test_settings_read_again(self) -> None:
+    def test_sighup_reloads_the_settings(self) -> None:
         self.write(revoke=4000)
         self.process.send_signal(signal.SIGHUP)
-        line = self.wait_for("settings read again")
+        line = self.wait_for("settings reloaded")
         self.assertEqual(
             (True, False), (line["bounds_changed"], line["restart_needed"])
         )
         self.file.write_text("no settings", encoding="utf-8")
         self.process.send_signal(signal.SIGHUP)
-        self.wait_for("settings not read again")
+        self.wait_for("settings not reloaded")
         self.assertEqual(503, self.get("callers", "/a/b").status)
 
     def test_notices_settings_that_change_without_a_signal(self) -> None:
         self.write(revoke=4000)
-        line = self.wait_for("settings read again")
+        line = self.wait_for("settings reloaded")
         self.assertEqual(True, line["bounds_changed"])
 
-    def test_leaves_on_sigterm(self) -> None:
+    def test_exits_with_status_0_on_sigterm(self) -> None:
         self.process.send_signal(signal.SIGTERM)
         self.wait_for("stopped")
         deadline_s = time.monotonic() + WAIT_TIMEOUT_S
