--- a/sequoiawind/lab/experiment.py
+++ b/sequoiawind/lab/experiment.py
@@ -14,7 +14,7 @@
 
 from sequoiawind import language, openai_format
 from sequoiawind.commands import Command
-from sequoiawind.lab import engine_model, policies, workload
+from sequoiawind.lab import baselines, engine_model, workload
 from sequoiawind.lab.engine_model import EngineModel, EngineParameters
 from sequoiawind.lab.rig import Rig, RigRouter, RigTarget, account_command
 from sequoiawind.lab.workload import Burst, Deployment, Prompt, Workload
@@ -143,7 +143,7 @@
         """Return the factory of the policy's placer."""
         if self.policy == PRODUCTION_POLICY:
             return ProbingPlacer
-        baseline = policies.BASELINES[self.policy]
+        baseline = baselines.BASELINES[self.policy]
         return partial(baseline, engine_of=self.engine)
 
     def engine(self, name: str) -> EngineModel:
--- a/sequoiawind/lab/experiment_report.py
+++ b/sequoiawind/lab/experiment_report.py
@@ -13,7 +13,7 @@
 import attrs
 
 from sequoiawind import wire
-from sequoiawind.lab import policies, workload
+from sequoiawind.lab import baselines, workload
 from sequoiawind.lab.experiment import (
     PRODUCTION_POLICY,
     SCENARIOS,
@@ -22,7 +22,7 @@
     Scenario,
 )
 
-POLICIES: Final = (*policies.BASELINES, PRODUCTION_POLICY)
+POLICIES: Final = (*baselines.BASELINES, PRODUCTION_POLICY)
 # Deployment, scenario and policy.
 Group = tuple[str, str, str]
 
--- a/sequoiawind/lab/forward_soak.py
+++ b/sequoiawind/lab/forward_soak.py
@@ -28,7 +28,7 @@
     ForwardSoakCaller,
 )
 from sequoiawind.lab.forward_faults import ForwardFaults
-from sequoiawind.lab.forward_nodes import Processes
+from sequoiawind.lab.forward_processes import Processes
 from sequoiawind.lab.forward_world import (
     CACHE_STORE,
     MODEL,
