--- a/sequoiawind/forward_ports.py
+++ b/sequoiawind/forward_ports.py
@@ -65,7 +65,7 @@
     versions: Mapping[str, int] = attrs.field(factory=dict)
 
 
-class AttemptSink(Protocol):
+class ForwardSink(Protocol):
     """Receives an answer; the last call is one to `done` or `failed`."""
 
     def head(self, head: AnswerHead) -> None:
@@ -84,7 +84,7 @@
 class ForwardPort(Protocol):
     """Sends requests to targets."""
 
-    def send(self, order: SendOrder, sink: AttemptSink) -> Call:
+    def send(self, order: SendOrder, sink: ForwardSink) -> Call:
         """Send a request and deliver the answer to the sink."""
 
     async def move(
--- a/sequoiawind/lab/forward_world.py
+++ b/sequoiawind/lab/forward_world.py
@@ -18,8 +18,8 @@
 from sequoiawind import invariants, timing
 from sequoiawind.forward_ports import (
     AnswerHead,
-    AttemptSink,
     CacheChanges,
+    ForwardSink,
     MoveOrder,
     SendOrder,
 )
@@ -184,7 +184,7 @@
 
     target: "SimulatedTarget"
     order: SendOrder
-    sink: AttemptSink
+    sink: ForwardSink
     node: Node
     epoch: int
     event: int = 0
@@ -454,7 +454,7 @@
     world: World
     node: Node
 
-    def send(self, order: SendOrder, sink: AttemptSink) -> SimulatedRun:
+    def send(self, order: SendOrder, sink: ForwardSink) -> SimulatedRun:
         """Send to the target up at the address, or else to the named one."""
         world = self.world
         target = world.target_at(order.target.address)
--- a/sequoiawind/platform/engine.py
+++ b/sequoiawind/platform/engine.py
@@ -10,8 +10,8 @@
 from sequoiawind import wire
 from sequoiawind.forward_ports import (
     AnswerHead,
-    AttemptSink,
     CacheChanges,
+    ForwardSink,
     MoveOrder,
     SendOrder,
 )
@@ -41,7 +41,7 @@
     """Decodes an answer's head and passes the answer on to a sink."""
 
     model: str
-    sink: AttemptSink
+    sink: ForwardSink
 
     def head(self, status: int, headers: Headers) -> None:
         """Decode the answer's head and pass it on."""
@@ -79,7 +79,7 @@
 
     client: Http1Client
 
-    def send(self, order: SendOrder, sink: AttemptSink) -> HttpCall:
+    def send(self, order: SendOrder, sink: ForwardSink) -> HttpCall:
         """Send a request to a target."""
         request = order.request
         outgoing = OutgoingRequest(
--- a/tests/forward_rig.py
+++ b/tests/forward_rig.py
@@ -16,8 +16,8 @@
 from sequoiawind.forward_plan import ForwardRequest, Planner
 from sequoiawind.forward_ports import (
     AnswerHead,
-    AttemptSink,
     CacheChanges,
+    ForwardSink,
     MoveOrder,
     SendOrder,
 )
@@ -69,7 +69,7 @@
     """A request that reached the fake port."""
 
     order: SendOrder
-    sink: AttemptSink
+    sink: ForwardSink
     call: FakeCall = attrs.field(factory=FakeCall)
 
     def answer(
@@ -113,7 +113,7 @@
         """Record the release of a moved run's memory."""
         self.released_runs.append(moved_from)
 
-    def send(self, order: SendOrder, sink: AttemptSink) -> FakeCall:
+    def send(self, order: SendOrder, sink: ForwardSink) -> FakeCall:
         """Record a request."""
         self.sent.append(Sent(order=order, sink=sink))
         return self.sent[-1].call
